--- a/src/yokedock/request/call_queue.py
+++ b/src/yokedock/request/call_queue.py
@@ -17,7 +17,7 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.errors import NoBackend
 
-TIED_S = 0.05
+TIE_WINDOW_S = 0.05
 """What is told so soon after a call came to wait elsewhere came at the same moment: half of it goes
 before. Two datagrams and their ways."""
 
@@ -33,7 +33,7 @@
         self.target_s = target_s
         self.deadline_s = deadline_s
         self.since_s = boot_time_s()
-        self._elsewhere_at_first: int | None = None
+        self._initial_remote: int | None = None
         self._elsewhere = 0.0
         self._woken = asyncio.Event()
         self.refusal: NoBackend | None = None
@@ -42,18 +42,18 @@
     @property
     def is_settled(self) -> bool:
         """Return whether the other routers know of it, so that its place will not get worse."""
-        return boot_time_s() >= self.since_s + TIED_S
+        return boot_time_s() >= self.since_s + TIE_WINDOW_S
 
     def ahead_elsewhere(self, waiting: int) -> float:
         """Return how many go before it at other routers, where ``waiting`` wait now.
 
         Whoever comes there later goes behind it.
         """
-        if self._elsewhere_at_first is None:
-            self._elsewhere_at_first, self._elsewhere = waiting, float(waiting)
+        if self._initial_remote is None:
+            self._initial_remote, self._elsewhere = waiting, float(waiting)
         elif not self.is_settled:
-            tied = max(0, waiting - self._elsewhere_at_first)
-            self._elsewhere = min(waiting, self._elsewhere_at_first) + tied / 2
+            tied = max(0, waiting - self._initial_remote)
+            self._elsewhere = min(waiting, self._initial_remote) + tied / 2
         else:
             self._elsewhere = min(self._elsewhere, float(waiting))
         return self._elsewhere
--- a/src/yokedock/request/room_looks.py
+++ b/src/yokedock/request/dispatch_timers.py
@@ -8,13 +8,13 @@
 
 from yokedock.base.clock import boot_time_s
 
-GATHER_ROOM_S = 0.003
+COALESCE_DELAY_S = 0.003
 """News of room that come within this time are looked at together."""
-RECHECK_S = 0.1
+RECHECK_INTERVAL_S = 0.1
 """Waiting generations look for room at least this often: promises of a silent router lapse."""
 
 
-class RoomLooks:
+class DispatchTimers:
     """Timers of the looks for room. Each kind is due once at a time, however often it is asked for.
 
     ``look`` looks for room for all that wait; ``is_waiting`` tells whether anybody does.
@@ -32,31 +32,31 @@
         """Look soon, with what else is heard in this moment."""
         if not self._is_soon_due and self._is_waiting():
             self._is_soon_due = True
-            asyncio.get_running_loop().call_later(GATHER_ROOM_S, self._soon_came)
+            asyncio.get_running_loop().call_later(COALESCE_DELAY_S, self._on_soon)
 
-    def now_and_then(self) -> None:
+    def start_rechecks(self) -> None:
         """Look at intervals, for as long as anybody waits."""
         if not self._is_recheck_due:
             self._is_recheck_due = True
-            asyncio.get_running_loop().call_later(RECHECK_S, self._recheck_came)
+            asyncio.get_running_loop().call_later(RECHECK_INTERVAL_S, self._on_recheck)
 
     def after(self, wait_s: float) -> None:
         """Look after ``wait_s``, unless such a look is due sooner."""
         due_s = boot_time_s() + wait_s
         if due_s < self._due_s:
             self._due_s = due_s
-            asyncio.get_running_loop().call_later(wait_s, self._time_came)
+            asyncio.get_running_loop().call_later(wait_s, self._on_due)
 
-    def _soon_came(self) -> None:
+    def _on_soon(self) -> None:
         self._is_soon_due = False
         self._look()
 
-    def _recheck_came(self) -> None:
+    def _on_recheck(self) -> None:
         self._is_recheck_due = False
         self._look()
         if self._is_waiting():
-            self.now_and_then()
+            self.start_rechecks()
 
-    def _time_came(self) -> None:
+    def _on_due(self) -> None:
         self._due_s = math.inf
         self._look()
--- a/src/yokedock/request/engine_choice.py
+++ b/src/yokedock/request/engine_choice.py
@@ -10,14 +10,14 @@
 from yokedock.request.backend_life import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_costs import (
-    DISTURBANCE_COST_S,
-    SELF_PREFILL_SLOWNESS,
+    COLOCATED_PREFILL_SLOWDOWN,
+    INTERFERENCE_COST_S,
     START_S,
     DecodeCandidate,
     EngineCosts,
     RoomyEngine,
     Sought,
-    alone_cost_s,
+    colocated_cost_s,
     stream_demand,
 )
 from yokedock.request.engine_ledger import EngineLedger
@@ -27,9 +27,9 @@
 from yokedock.request.routed_call import RoutedCall
 from yokedock.version.route_table import EngineTraits
 
-FILL = 0.98
+MAX_MEMORY_FILL = 0.98
 """Share of an engine's memory that is promised."""
-MOST_WEIGHED = 48
+MAX_CANDIDATES = 48
 """Engines of a role that one placement weighs. Above that they are drawn by chance: with 48 of
 several hundred drawn, the best of them is among the best 5 in 100 nine times of ten (1 - 0.95^48 =
 0.91), and a placement costs as much in a fleet of any size."""
@@ -60,30 +60,32 @@
         decodes = self._registry.usable(service, DECODE_ROLE)
         prefills = self._registry.usable(service, PREFILL_ROLE)
         sought = Sought(terms, progress, traits, self._homes(service, terms))
-        roomy = self._roomy(self._drawn(decodes, sought), sought)
-        if not roomy and len(decodes) > MOST_WEIGHED:
-            roomy = self._roomy(decodes, sought)
-        if not roomy:
+        available = self._with_capacity(self._sampled(decodes, sought), sought)
+        if not available and len(decodes) > MAX_CANDIDATES:
+            available = self._with_capacity(decodes, sought)
+        if not available:
             return None
-        keepers = self._keepers(service, sought)
+        cache_holders = self._cache_holders(service, sought)
         if not self._mechanisms.cached_copies:
-            names = {candidate.backend.name for candidate in roomy}
-            keepers = [keeper for keeper in keepers if keeper.name in names]
-        if keepers and not self._mechanisms.cached_copies:
-            return self._promise(keepers[0], None, sought)
-        candidates = [self._costs.weighed(one, sought) for one in roomy[:MOST_WEIGHED]]
-        if keepers:
-            return self._promise_kept(candidates, keepers, sought)
-        alone = min(candidates, key=alone_cost_s)
-        opened = [p for p in self._drawn(prefills, sought) if self._is_open(p, sought)]
+            names = {candidate.backend.name for candidate in available}
+            cache_holders = [keeper for keeper in cache_holders if keeper.name in names]
+        if cache_holders and not self._mechanisms.cached_copies:
+            return self._open_placement(cache_holders[0], None, sought)
+        candidates = [self._costs.weighed(one, sought) for one in available[:MAX_CANDIDATES]]
+        if cache_holders:
+            return self._reserve_near_cache(candidates, cache_holders, sought)
+        alone = min(candidates, key=colocated_cost_s)
+        opened = [p for p in self._sampled(prefills, sought) if self._is_eligible(p, sought)]
         pair = self._costs.best_pair(opened, candidates, sought)
         if pair is not None:
-            alone_s = alone.alone_s + self._costs.handicap_s(call, alone.backend, pair.cost_s)
-            if self._costs.would_disturb(call, alone.backend):
-                alone_s += DISTURBANCE_COST_S
-            if pair.cost_s <= alone_s or not self._mechanisms.decode_reads:
-                return self._promise(pair.decode, pair.prefill, sought)
-        return self._promise(alone.backend, None, sought)
+            colocated_s = alone.colocated_s + self._costs.colocated_penalty_s(
+                call, alone.backend, pair.cost_s
+            )
+            if self._costs.would_interfere(call, alone.backend):
+                colocated_s += INTERFERENCE_COST_S
+            if pair.cost_s <= colocated_s or not self._mechanisms.decode_reads:
+                return self._open_placement(pair.decode, pair.prefill, sought)
+        return self._open_placement(alone.backend, None, sought)
 
     def places(self, call: RoutedCall, progress: Progress) -> int:
         """Return how many generations like this one have room now, over all engines."""
@@ -92,13 +94,15 @@
         sought = Sought(terms, progress, traits)
         need = stream_demand("", terms, progress.made).memory_tokens()
         return sum(
-            self._places_at(roomy, traits, need)
-            for roomy in self._roomy(self._registry.usable(call.service.name, DECODE_ROLE), sought)
+            self._capacity_at(available, traits, need)
+            for available in self._with_capacity(
+                self._registry.usable(call.service.name, DECODE_ROLE), sought
+            )
         )
 
-    def _places_at(self, roomy: RoomyEngine, traits: EngineTraits, need: int) -> int:
-        free_tokens = FILL * traits.memory_tokens - roomy.load.memory_tokens
-        free_slots = traits.slots - roomy.load.streams
+    def _capacity_at(self, available: RoomyEngine, traits: EngineTraits, need: int) -> int:
+        free_tokens = MAX_MEMORY_FILL * traits.memory_tokens - available.load.memory_tokens
+        free_slots = traits.slots - available.load.streams
         return max(1, min(free_slots, int(free_tokens / max(1, need))))
 
     def first_token_s(self, call: RoutedCall, progress: Progress) -> float:
@@ -112,14 +116,14 @@
             return START_S
         tokens = terms.prompt_tokens + progress.made
         pace, service = self._ledger.pace, call.service.name
-        reads_s = [
+        prefill_times_s = [
             slowness * tokens / pace.read_rate(engine.name)
-            for role, slowness in ((PREFILL_ROLE, 1.0), (DECODE_ROLE, SELF_PREFILL_SLOWNESS))
-            for engine in self._registry.usable(service, role)[:MOST_WEIGHED]
+            for role, slowness in ((PREFILL_ROLE, 1.0), (DECODE_ROLE, COLOCATED_PREFILL_SLOWDOWN))
+            for engine in self._registry.usable(service, role)[:MAX_CANDIDATES]
         ]
-        return START_S + min(reads_s, default=0.0)
+        return START_S + min(prefill_times_s, default=0.0)
 
-    def _keepers(self, service: str, sought: Sought) -> list[Backend]:
+    def _cache_holders(self, service: str, sought: Sought) -> list[Backend]:
         """Return the engines that keep the prompt in their prefix cache."""
         if not sought.progress.cached_at:
             return []
@@ -128,20 +132,22 @@
             backend
             for backend in self._registry.usable(service)
             if backend.name in sought.progress.cached_at
-            and self._is_open(backend, sought)
+            and self._is_eligible(backend, sought)
             and not backend.health.is_suspect(now_s)
         ]
 
-    def _promise_kept(
-        self, candidates: list[DecodeCandidate], keepers: list[Backend], sought: Sought
+    def _reserve_near_cache(
+        self, candidates: list[DecodeCandidate], cache_holders: list[Backend], sought: Sought
     ) -> Placement:
         """Promise memory where the prompt is kept, or near to there: it is not read again."""
-        decode, keeper = self._costs.cheapest_copy(candidates, keepers)
-        placement = self._promise(decode, None, sought)
+        decode, keeper = self._costs.cheapest_cached(candidates, cache_holders)
+        placement = self._open_placement(decode, None, sought)
         fetch_from = None if decode is keeper else keeper
         return msgspec.structs.replace(placement, fetch_from=fetch_from)
 
-    def _promise(self, decode: Backend, prefill: Backend | None, sought: Sought) -> Placement:
+    def _open_placement(
+        self, decode: Backend, prefill: Backend | None, sought: Sought
+    ) -> Placement:
         """Promise memory at the chosen engine, and take the permits of engines that are limited."""
         demand = stream_demand(decode.name, sought.terms, sought.progress.made)
         promise = self._ledger.open_stream(demand)
@@ -158,30 +164,30 @@
             has_prefill_permit=has_prefill_permit,
         )
 
-    def _drawn(self, engines: list[Backend], sought: Sought) -> list[Backend]:
+    def _sampled(self, engines: list[Backend], sought: Sought) -> list[Backend]:
         """Return the engines to look at: all, or some by chance, the prompt's home and keepers."""
-        if len(engines) <= MOST_WEIGHED:
+        if len(engines) <= MAX_CANDIDATES:
             return engines
         wanted = sought.homes | sought.progress.cached_at
         known = (self._registry.get(name) for name in wanted)
         always = [backend for backend in known if backend is not None and backend in engines]
-        return always + self._random.sample(engines, MOST_WEIGHED - len(always))
+        return always + self._random.sample(engines, MAX_CANDIDATES - len(always))
 
-    def _roomy(self, decodes: list[Backend], sought: Sought) -> list[RoomyEngine]:
+    def _with_capacity(self, decodes: list[Backend], sought: Sought) -> list[RoomyEngine]:
         """Return the decode engines with room for one more stream and its memory."""
         need = stream_demand("", sought.terms, sought.progress.made).memory_tokens()
         slots = sought.traits.slots
-        most_promised = FILL * sought.traits.memory_tokens - need
+        max_reserved = MAX_MEMORY_FILL * sought.traits.memory_tokens - need
         load_of = self._ledger.load
-        roomy: list[RoomyEngine] = []
+        available: list[RoomyEngine] = []
         for backend in decodes:
             load = load_of(backend.name)
-            has_memory = load.memory_tokens <= most_promised or load.memory_tokens == 0
-            if has_memory and load.streams < slots and self._is_open(backend, sought):
-                roomy.append(RoomyEngine(backend, load))
-        return roomy
+            has_memory = load.memory_tokens <= max_reserved or load.memory_tokens == 0
+            if has_memory and load.streams < slots and self._is_eligible(backend, sought):
+                available.append(RoomyEngine(backend, load))
+        return available
 
-    def _is_open(self, backend: Backend, sought: Sought) -> bool:
+    def _is_eligible(self, backend: Backend, sought: Sought) -> bool:
         is_avoided = backend.name in sought.progress.avoid
         return not is_avoided and not self._registry.is_changing(backend.name)
 
--- a/src/yokedock/request/engine_costs.py
+++ b/src/yokedock/request/engine_costs.py
@@ -18,28 +18,28 @@
 
 OTHER_ZONE_COST_S = 0.05
 """How much later an engine in the same zone may be before one in another zone is better."""
-SELF_PREFILL_SLOWNESS = 2.0
+COLOCATED_PREFILL_SLOWDOWN = 2.0
 """A decode engine reads prompts this much slower than a prefill engine (the platform's figure)."""
-SELF_PREFILL_HANDICAP_S = 0.1
-FULL_HANDICAP_S = 0.6
+COLOCATED_PENALTY_S = 0.1
+COLOCATED_FULL_PENALTY_S = 0.6
 """How much sooner reading on the decode engine must be, on an empty and on a full engine: it slows
 all streams there, and so the rate at which room comes free."""
-MOVE_COST_S = 0.3
+TRANSFER_COST_S = 0.3
 """How much later reading on the decode engine may be, since a pair moves the prompt's memory and
 keeps two engines busy. With the handicaps: a decode engine that is less than a third full reads
 alone, one that is fuller only where the pair is that much slower."""
 TARGET_MARGIN_S = 0.25
 """A pair predicted to be later than this before the target is no better than reading alone."""
-FETCH_COST_S = 0.25
+CACHE_COPY_COST_S = 0.25
 """How much later an engine that keeps the prompt may be before it is copied to another."""
-HOME_BONUS_S = 0.1
-FULL_COST_S = 0.1
-SLOW_COST_S = 0.3
+AFFINITY_BONUS_S = 0.1
+UTILIZATION_COST_S = 0.1
+SLOWNESS_COST_S = 0.3
 """What an engine costs that makes tokens half as fast as is typical, above what is tolerated."""
-TOLERATED_SLOWNESS = 1.15
-PAUSE_SHARE = 0.92
+SLOWNESS_TOLERANCE = 1.15
+MAX_PAUSE_SHARE = 0.92
 """Share of the longest pause that is allowed which reading beside streams may bring about."""
-DISTURBANCE_COST_S = 0.5
+INTERFERENCE_COST_S = 0.5
 START_S = 0.08
 """From the end of a prefill to the first token: transfer and first step."""
 
@@ -72,7 +72,7 @@
     backend: Backend
     cost_s: float
     """As one of a pair."""
-    alone_s: float
+    colocated_s: float
     """If it reads the prompt too."""
 
 
@@ -88,9 +88,9 @@
     return candidate.cost_s
 
 
-def alone_cost_s(candidate: DecodeCandidate) -> float:
+def colocated_cost_s(candidate: DecodeCandidate) -> float:
     """Return what an engine costs that reads the prompt too, in seconds."""
-    return candidate.alone_s
+    return candidate.colocated_s
 
 
 class EngineCosts:
@@ -101,12 +101,15 @@
         self._ledger = ledger
         self._mechanisms = mechanisms
 
-    def weighed(self, roomy: RoomyEngine, sought: Sought) -> DecodeCandidate:
+    def weighed(self, available: RoomyEngine, sought: Sought) -> DecodeCandidate:
         """Return a decode engine with its costs."""
-        decode = roomy.backend
-        cost_s = self._decode_cost_s(decode, roomy.load, sought)
-        alone_s = SELF_PREFILL_SLOWNESS * self._read_cost_s(decode, roomy.load, sought) + cost_s
-        return DecodeCandidate(decode, cost_s, alone_s)
+        decode = available.backend
+        cost_s = self._decode_cost_s(decode, available.load, sought)
+        colocated_s = (
+            COLOCATED_PREFILL_SLOWDOWN * self._prefill_time_s(decode, available.load, sought)
+            + cost_s
+        )
+        return DecodeCandidate(decode, cost_s, colocated_s)
 
     def best_pair(
         self, prefills: Iterable[Backend], candidates: list[DecodeCandidate], sought: Sought
@@ -133,8 +136,8 @@
                 best = EnginePair(prefill, decode.backend, cost_s + decode_s)
         return best
 
-    def cheapest_copy(
-        self, candidates: list[DecodeCandidate], keepers: list[Backend]
+    def cheapest_cached(
+        self, candidates: list[DecodeCandidate], cache_holders: list[Backend]
     ) -> tuple[Backend, Backend]:
         """Return an engine to decode at and the keeper of the prompt that it is copied from."""
 
@@ -142,52 +145,52 @@
             decode = candidate.backend
             cost_s = self._ledger.backlog_s(decode.name) + candidate.cost_s
             if decode is not keeper:
-                cost_s += FETCH_COST_S
+                cost_s += CACHE_COPY_COST_S
                 if decode.entry.zone != keeper.entry.zone:
                     cost_s += OTHER_ZONE_COST_S
             return cost_s
 
-        pairs = [(candidate, keeper) for candidate in candidates for keeper in keepers]
+        pairs = [(candidate, keeper) for candidate in candidates for keeper in cache_holders]
         candidate, keeper = min(pairs, key=lambda pair: cost_s(*pair))
         return candidate.backend, keeper
 
-    def handicap_s(self, call: RoutedCall, alone: Backend, pair_s: float) -> float:
+    def colocated_penalty_s(self, call: RoutedCall, alone: Backend, pair_s: float) -> float:
         """Return how much sooner reading alone must be: more on a full engine."""
         if boot_time_s() + pair_s >= call.target_s - TARGET_MARGIN_S:
-            return SELF_PREFILL_HANDICAP_S
+            return COLOCATED_PENALTY_S
         traits = call.service.engine
         assert traits is not None
         fullness = self._ledger.memory_tokens(alone.name) / traits.memory_tokens
-        move_s = MOVE_COST_S if self._mechanisms.decode_reads_when_calm else 0.0
-        return SELF_PREFILL_HANDICAP_S + FULL_HANDICAP_S * fullness - move_s
+        transfer_s = TRANSFER_COST_S if self._mechanisms.decode_reads_when_calm else 0.0
+        return COLOCATED_PENALTY_S + COLOCATED_FULL_PENALTY_S * fullness - transfer_s
 
-    def would_disturb(self, call: RoutedCall, alone: Backend) -> bool:
+    def would_interfere(self, call: RoutedCall, alone: Backend) -> bool:
         """Return whether reading on ``alone`` makes pauses there longer than the target."""
-        longest_s = PAUSE_SHARE * call.route.gap_target_s
+        longest_s = MAX_PAUSE_SHARE * call.route.gap_target_s
         is_slow = self._ledger.pace.reading_pause_s(alone.name) > longest_s > 0
         return is_slow and self._ledger.streams(alone.name) > 0
 
     def _prefill_cost_s(self, prefill: Backend, sought: Sought) -> float:
         """Return the predicted time to read the prompt, and the engine's risk and bonus."""
         load = self._ledger.load(prefill.name)
-        cost_s = self._read_cost_s(prefill, load, sought) + self._risk_s(prefill)
-        return cost_s - HOME_BONUS_S if prefill.name in sought.homes else cost_s
+        cost_s = self._prefill_time_s(prefill, load, sought) + self._failure_cost_s(prefill)
+        return cost_s - AFFINITY_BONUS_S if prefill.name in sought.homes else cost_s
 
-    def _read_cost_s(self, engine: Backend, load: EngineTotals, sought: Sought) -> float:
+    def _prefill_time_s(self, engine: Backend, load: EngineTotals, sought: Sought) -> float:
         """Return the predicted time to read the prompt."""
-        to_read = load.prefill_tokens + sought.tokens
-        return to_read / self._ledger.pace.read_rate(engine.name)
+        tokens_to_prefill = load.prefill_tokens + sought.tokens
+        return tokens_to_prefill / self._ledger.pace.read_rate(engine.name)
 
     def _decode_cost_s(self, decode: Backend, load: EngineTotals, sought: Sought) -> float:
         """Return the cost of a decode engine: how full and slow it is, its failures."""
         fullness = load.memory_tokens / sought.traits.memory_tokens
-        slowness = self._ledger.pace.slowness(decode.name) - TOLERATED_SLOWNESS
-        cost_s = START_S + FULL_COST_S * fullness + SLOW_COST_S * max(0.0, slowness)
+        slowness = self._ledger.pace.slowness(decode.name) - SLOWNESS_TOLERANCE
+        cost_s = START_S + UTILIZATION_COST_S * fullness + SLOWNESS_COST_S * max(0.0, slowness)
         if decode.name in sought.homes:
-            cost_s -= HOME_BONUS_S
-        return cost_s + self._risk_s(decode)
+            cost_s -= AFFINITY_BONUS_S
+        return cost_s + self._failure_cost_s(decode)
 
-    def _risk_s(self, backend: Backend) -> float:
+    def _failure_cost_s(self, backend: Backend) -> float:
         return backend.health.failure_share(boot_time_s())
 
 
--- a/src/yokedock/request/engine_ledger.py
+++ b/src/yokedock/request/engine_ledger.py
@@ -18,9 +18,9 @@
 from yokedock.request.remote_promises import EngineTotals, RemotePromises
 from yokedock.request.stream_turnover import StreamTurnover
 
-GROWTH_SHARE = 0.75
+EXPECTED_GROWTH_SHARE = 0.75
 """Share of the output still expected that is counted: not all streams are longest at once."""
-LONGER_THAN_EXPECTED = 0.35
+OVERRUN_SHARE = 0.35
 """A stream beyond its expected length is expected to go on for this share of what it has made."""
 
 
@@ -30,15 +30,17 @@
     engine: str
     prompt_tokens: int
     expected_output: float
-    most_output: int
+    max_output: int
     made: int = 0
 
     def memory_tokens(self) -> int:
         """Return the memory to set aside for the stream."""
-        to_come = self.expected_output - self.made
-        if to_come <= 0:
-            to_come = min(self.most_output - self.made, LONGER_THAN_EXPECTED * self.made)
-        return round(self.prompt_tokens + self.made + GROWTH_SHARE * max(0.0, to_come))
+        remaining_output = self.expected_output - self.made
+        if remaining_output <= 0:
+            remaining_output = min(self.max_output - self.made, OVERRUN_SHARE * self.made)
+        return round(
+            self.prompt_tokens + self.made + EXPECTED_GROWTH_SHARE * max(0.0, remaining_output)
+        )
 
 
 class PrefillDemand(msgspec.Struct):
@@ -61,7 +63,7 @@
     ) -> None:
         """Start with nothing promised."""
         self._clock = clock
-        self._counts_others = mechanisms.promises_of_others
+        self._counts_remote = mechanisms.promises_of_others
         self._demands: dict[int, StreamDemand] = {}
         self._prefills: dict[int, PrefillDemand] = {}
         self._demands_at: dict[str, dict[int, StreamDemand]] = {}
@@ -152,10 +154,10 @@
         self, router: str, shares: dict[str, EngineShare], told_s: float | None = None
     ) -> None:
         """Take over what another router has at each engine, told just now or at ``told_s``."""
-        has_freed = self._counts_others and self._remote.heard(router, shares, told_s)
+        has_freed_capacity = self._counts_remote and self._remote.heard(router, shares, told_s)
         for engine, share in shares.items():
             self.pace.heard(engine, share.pause_ms, share.read_tokens_per_ms, told_s)
-        if has_freed:
+        if has_freed_capacity:
             self.on_room()
 
     def forget(self, router: str) -> None:
--- a/src/yokedock/request/generation_queue.py
+++ b/src/yokedock/request/generation_queue.py
@@ -62,4 +62,4 @@
         first = next(self.in_time(now_s), None)
         if first is None and self._waiters:
             first = self._waiters[0]
-        return first.place_in_order(now_s) if first is not None else None
+        return first.turn_at(now_s) if first is not None else None
--- a/src/yokedock/request/placement.py
+++ b/src/yokedock/request/placement.py
@@ -1,7 +1,8 @@
-"""Where a request is prefilled and decoded. Policies can be swapped behind ``PlacementPolicy``.
+"""Selection of prefill and decode engines. Policies are interchangeable via ``PlacementPolicy``.
 
-Reported load lags, so a gateway adds what it has itself sent since the report. Only the agent's
-own record decides: a wrong choice here costs a round trip, never an overfull engine.
+Reported load lags behind, so a gateway adds the work it has sent since the last report. The final
+admission decision is the agent's: a wrong choice here costs a round trip but never overloads an
+engine.
 """
 
 from __future__ import annotations
@@ -19,37 +20,38 @@
 from yokedock.version.bundle import ROLE_DECODE, ROLE_PREFILL
 
 OTHER_ZONE_PENALTY = 0.05
-"""A decode engine in another zone counts as fuller by this share of its slots."""
+"""Added to the utilization of a decode engine in another zone, as a share of its slots."""
 OTHER_ZONE_PENALTY_S = 0.005
-"""A prefill engine in another zone counts as later by this time."""
+"""Added to the predicted finish time of a prefill engine in another zone, in seconds."""
 RETRY_AFTER_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True)
 class PrefillChoice:
-    """A prefill engine and how long it would take there, queue included."""
+    """A prefill engine and the predicted time until the prefill finishes there, including
+    queueing."""
 
     peer: AgentPeerHandle
     predicted_s: float
 
 
-class SentSinceReport:
-    """What this gateway sent to each peer since that peer's last load report."""
+class UnreportedLoad:
+    """The load sent by this gateway to each peer since that peer's last load report."""
 
     def __init__(self) -> None:
-        """Start with nothing sent."""
+        """Create an empty record."""
         self._lock = threading.Lock()
         self._report_s: dict[str, float] = {}
         self._sent: collections.Counter[str] = collections.Counter()
 
     def add(self, peer: AgentPeerHandle, amount: int) -> None:
-        """Note slots (decode) or tokens (prefill) sent to the peer."""
+        """Record slots (decode) or tokens (prefill) sent to the peer."""
         with self._lock:
             self._refresh(peer)
             self._sent[peer.name] += amount
 
     def amount(self, peer: AgentPeerHandle) -> int:
-        """Return what the peer's last report cannot contain yet."""
+        """Return the load sent to the peer that its last report cannot include yet."""
         with self._lock:
             self._refresh(peer)
             return self._sent[peer.name]
@@ -61,32 +63,32 @@
 
 
 class PlacementPolicy(abc.ABC):
-    """Orders the candidates for both roles, the best first."""
+    """Ranks the candidate engines for both roles, best first."""
 
     reserves = True
-    """Whether decode room is reserved before prefill."""
+    """Whether a decode slot is reserved before the prefill starts."""
 
     @abc.abstractmethod
     def order_decode(self, peers: list[AgentPeerHandle]) -> list[AgentPeerHandle]:
-        """Return decode engines, the best first."""
+        """Return the decode engines, best first."""
 
     @abc.abstractmethod
     def order_prefill(
         self, peers: list[AgentPeerHandle], blocks: list[int], tokens: int
     ) -> list[PrefillChoice]:
-        """Return prefill engines, the best first."""
+        """Return the prefill engines, best first."""
 
     def decode_sent(self, peer: AgentPeerHandle) -> None:
-        """Note that a stream was placed on the peer; the base keeps no such record."""
+        """Record that a stream was placed on the peer; a no-op in the base class."""
         return
 
     def prefill_sent(self, peer: AgentPeerHandle, tokens: int) -> None:
-        """Note that a prefill was placed on the peer; the base keeps no such record."""
+        """Record that a prefill was placed on the peer; a no-op in the base class."""
         return
 
 
 def predict_prefill_s(peer: AgentPeerHandle, uncached: int, sent_tokens: int) -> float:
-    """Return how long a prefill would take on the peer, by its last report."""
+    """Return the predicted duration of a prefill on the peer, based on its last report."""
     load = peer.view.load
     if load is None:
         return 0.0
@@ -95,7 +97,8 @@
 
 
 class CorrectedLoadPolicy(PlacementPolicy):
-    """The product's policy: corrected load, cached prefix, own zone first, random ties."""
+    """The default policy: corrected load, cached prefix, own zone preferred, ties broken at
+    random."""
 
     def __init__(
         self,
@@ -104,34 +107,34 @@
         uses_prefix: bool = True,
         corrects: bool = True,
     ) -> None:
-        """``zone`` is the gateway's own; the switches turn single mechanisms off."""
+        """``zone`` is the gateway's own zone; the flags disable individual mechanisms."""
         self._zone = zone
         self.reserves = reserves
         self._uses_prefix = uses_prefix
-        self._corrects = corrects
+        self._corrects_load = corrects
         self._random = new_random()
-        self._slots_sent = SentSinceReport()
-        self._tokens_sent = SentSinceReport()
+        self._slots_sent = UnreportedLoad()
+        self._tokens_sent = UnreportedLoad()
 
     def order_decode(self, peers: list[AgentPeerHandle]) -> list[AgentPeerHandle]:
-        """Return decode engines, the one with the largest free share first."""
+        """Return the decode engines, largest free share first."""
         return sorted(peers, key=lambda peer: (self._fullness(peer), self._random.random()))
 
     def order_prefill(
         self, peers: list[AgentPeerHandle], blocks: list[int], tokens: int
     ) -> list[PrefillChoice]:
-        """Return prefill engines, the one that would finish first at the front."""
-        choices = [PrefillChoice(p, self._finish_s(p, blocks, tokens)) for p in peers]
+        """Return the prefill engines, earliest predicted finish first."""
+        choices = [PrefillChoice(p, self._predicted_finish_s(p, blocks, tokens)) for p in peers]
         return sorted(choices, key=lambda choice: (choice.predicted_s, self._random.random()))
 
     def decode_sent(self, peer: AgentPeerHandle) -> None:
-        """Note that a stream was placed on the peer."""
-        if self._corrects:
+        """Record that a stream was placed on the peer."""
+        if self._corrects_load:
             self._slots_sent.add(peer, 1)
 
     def prefill_sent(self, peer: AgentPeerHandle, tokens: int) -> None:
-        """Note that a prefill was placed on the peer."""
-        if self._corrects:
+        """Record that a prefill was placed on the peer."""
+        if self._corrects_load:
             self._tokens_sent.add(peer, tokens)
 
     def _fullness(self, peer: AgentPeerHandle) -> float:
@@ -142,7 +145,7 @@
         penalty = 0.0 if peer.view.zone == self._zone else OTHER_ZONE_PENALTY
         return taken / load.slots + penalty
 
-    def _finish_s(self, peer: AgentPeerHandle, blocks: list[int], tokens: int) -> float:
+    def _predicted_finish_s(self, peer: AgentPeerHandle, blocks: list[int], tokens: int) -> float:
         cached = 0
         if self._uses_prefix:
             cached = cached_prefix_blocks(blocks, peer.view.caches) * BLOCK_TOKENS
@@ -152,22 +155,22 @@
 
 
 class LeastLoadedPolicy(PlacementPolicy):
-    """Baseline: the less loaded of two random engines, by the lagging report alone."""
+    """Baseline: the less loaded of two random engines, using only the lagging load report."""
 
     reserves = False
 
     def __init__(self, seed: int | None = None) -> None:
-        """Set the seed of the random choices."""
+        """``seed`` makes the random choices reproducible."""
         self._random = new_random(seed)
 
     def order_decode(self, peers: list[AgentPeerHandle]) -> list[AgentPeerHandle]:
-        """Return one engine."""
+        """Return the chosen decode engine as a list of one."""
         return self._less_loaded(peers, lambda p: p.view.load.slots_taken if p.view.load else 0)
 
     def order_prefill(
         self, peers: list[AgentPeerHandle], blocks: list[int], tokens: int
     ) -> list[PrefillChoice]:
-        """Return one engine."""
+        """Return the chosen prefill engine as a list of one."""
         chosen = self._less_loaded(
             peers, lambda p: p.view.load.queued_prefill_tokens if p.view.load else 0
         )
@@ -181,40 +184,41 @@
 
 
 class RoundRobinPolicy(PlacementPolicy):
-    """Baseline: each engine in turn."""
+    """Baseline: engines are chosen in rotation, ordered by name."""
 
     reserves = False
 
     def __init__(self) -> None:
-        """Start with the first engine."""
+        """Start both rotations."""
         self._decode_turn = 0
         self._prefill_turn = 0
 
     def order_decode(self, peers: list[AgentPeerHandle]) -> list[AgentPeerHandle]:
-        """Return the engine whose turn it is."""
+        """Return the next decode engine in rotation as a list of one."""
         self._decode_turn += 1
         return [sorted(peers, key=lambda p: p.name)[self._decode_turn % len(peers)]]
 
     def order_prefill(
         self, peers: list[AgentPeerHandle], blocks: list[int], tokens: int
     ) -> list[PrefillChoice]:
-        """Return the engine whose turn it is."""
+        """Return the next prefill engine in rotation as a list of one."""
         self._prefill_turn += 1
         peer = sorted(peers, key=lambda p: p.name)[self._prefill_turn % len(peers)]
         return [PrefillChoice(peer, predict_prefill_s(peer, tokens, 0))]
 
 
 def candidates(peers: list[AgentPeerHandle], role: str) -> list[AgentPeerHandle]:
-    """Return the peers that can take new work of ``role``; raises ``NoBackend`` if none."""
-    found = [peer for peer in peers if can_take(peer, role)]
+    """Return the peers that accept new work for ``role``; raises ``NoBackend`` if there are
+    none."""
+    found = [peer for peer in peers if accepts_work(peer, role)]
     if not found:
         names = {ROLE_DECODE: "decode", ROLE_PREFILL: "prefill"}
-        message = f"no {names.get(role, role)} engine of this model is reachable; retry later"
+        message = f"no {names.get(role, role)} engine of this model is available; retry later"
         raise NoBackend(message, RETRY_AFTER_S)
     return found
 
 
-def can_take(peer: AgentPeerHandle, role: str) -> bool:
-    """Return whether the peer's last report says that it takes new work of ``role``."""
+def accepts_work(peer: AgentPeerHandle, role: str) -> bool:
+    """Return whether the peer accepts new work for ``role`` according to its last report."""
     load = peer.view.load
     return load is not None and load.ready and not load.leaving and load.role == role
--- a/src/yokedock/request/prompt_homes.py
+++ b/src/yokedock/request/prompt_homes.py
@@ -12,7 +12,7 @@
 from yokedock.version.homes import HashRing
 
 
-class RingOfMembers(msgspec.Struct, frozen=True):
+class MemberRing(msgspec.Struct, frozen=True):
     """A ring and the list of backends that it was made of."""
 
     members: list[Backend]
@@ -25,7 +25,7 @@
     def __init__(self, registry: BackendRegistry) -> None:
         """Follow the backends of ``registry``."""
         self._registry = registry
-        self._rings: dict[tuple[str, str], RingOfMembers] = {}
+        self._rings: dict[tuple[str, str], MemberRing] = {}
 
     def home_of(self, key: str, service: str, role: str) -> str | None:
         """Return the backend that is the home of a key: the same one at every router.
@@ -36,10 +36,10 @@
         known = self._rings.get((service, role))
         if known is None or known.members is not members:
             ring = HashRing(b.name for b in members if b.leaving_since_s is None)
-            known = self._rings[service, role] = RingOfMembers(members, ring)
-        return known.ring.home_of(key, self._is_sound)
+            known = self._rings[service, role] = MemberRing(members, ring)
+        return known.ring.home_of(key, self._is_healthy)
 
-    def _is_sound(self, name: str) -> bool:
+    def _is_healthy(self, name: str) -> bool:
         backend = self._registry.get(name)
         if backend is None or backend.leaving_since_s is not None:
             return False
--- a/src/yokedock/request/queues_elsewhere.py
+++ b/src/yokedock/request/queues_elsewhere.py
@@ -1,7 +1,8 @@
-"""What waits for room at all other routers, as they told last: sums that are kept by difference.
+"""Queue state of all other routers, as last reported, with incrementally maintained totals.
 
-Every look for room asks for them, every datagram changes one router's row: keeping sums costs as
-much as the services that one datagram names, whatever the number of routers.
+The totals are read on every attempt to place a waiter, while a datagram changes the state of one
+router only. Incremental updates cost time proportional to the services named in a datagram,
+independent of the number of routers.
 """
 
 from __future__ import annotations
@@ -11,28 +12,28 @@
 from yokedock.connection.router_state import QueueShare
 from yokedock.request.waiter import Turn
 
-NOTHING = QueueShare()
+EMPTY_SHARE = QueueShare()
 
 
-class ToldQueue(msgspec.Struct, frozen=True):
-    """What one router told of one service's queue."""
+class ReportedQueue(msgspec.Struct, frozen=True):
+    """One router's report on the queue of one service."""
 
     share: QueueShare
     turn: Turn | None
-    """Of whoever is next there, None if none waits."""
+    """Turn of the next waiter there, None if the queue is empty."""
 
 
-class ServiceQueues:
-    """What waits for the engines of one service, by router."""
+class RemoteServiceQueues:
+    """The queues for one service, by router."""
 
     def __init__(self) -> None:
-        """Start with nothing told."""
-        self.by_router: dict[str, ToldQueue] = {}
+        """Start with no reports."""
+        self.by_router: dict[str, ReportedQueue] = {}
         self.turns: dict[str, Turn] = {}
         self.in_time = 0
 
-    def put(self, router: str, told: ToldQueue) -> None:
-        """Take over what a router tells."""
+    def put(self, router: str, told: ReportedQueue) -> None:
+        """Store a router's report, replacing its previous one."""
         self.drop(router)
         self.by_router[router] = told
         self.in_time += told.share.in_time
@@ -40,7 +41,7 @@
             self.turns[router] = told.turn
 
     def drop(self, router: str) -> None:
-        """Forget what a router told."""
+        """Remove a router's report."""
         before = self.by_router.pop(router, None)
         if before is not None:
             self.in_time -= before.share.in_time
@@ -48,59 +49,59 @@
 
 
 class QueuesElsewhere:
-    """The queues of all other routers by service."""
+    """The queues of all other routers, by service."""
 
     def __init__(self, own_address: str) -> None:
-        """``own_address`` decides ties between turns."""
+        """``own_address`` is used to break ties between turns."""
         self._own_address = own_address
-        self._services: dict[str, ServiceQueues] = {}
-        self._services_of: dict[str, set[str]] = {}
+        self._services: dict[str, RemoteServiceQueues] = {}
+        self._services_by_router: dict[str, set[str]] = {}
 
     def heard(self, router: str, queues: dict[str, QueueShare], now_s: float) -> bool:
-        """Take over what a router tells; return whether somewhere nobody in time is left there.
+        """Store a router's report; return whether it emptied some service's remote on-time queue.
 
-        Then the late, who go behind all that are in time, may look for room.
+        Late waiters, which yield to all on-time ones, may then be placed.
         """
-        before = self._services_of.get(router, set())
+        before = self._services_by_router.get(router, set())
         has_emptied = False
         for service in before - queues.keys():
             has_emptied |= self._drop(router, service)
         for service, share in queues.items():
-            known = self._services.setdefault(service, ServiceQueues())
+            known = self._services.setdefault(service, RemoteServiceQueues())
             had_in_time = known.in_time
-            known.put(router, ToldQueue(share, self._turn(router, share, now_s)))
+            known.put(router, ReportedQueue(share, self._turn(router, share, now_s)))
             has_emptied |= had_in_time > 0 and not known.in_time
         if queues:
-            self._services_of[router] = set(queues)
+            self._services_by_router[router] = set(queues)
         else:
-            self._services_of.pop(router, None)
+            self._services_by_router.pop(router, None)
         return has_emptied
 
     def forget(self, router: str) -> None:
-        """Drop what a router told."""
-        for service in self._services_of.pop(router, set()):
+        """Remove all reports of a router."""
+        for service in self._services_by_router.pop(router, set()):
             self._drop(router, service)
 
     def share(self, service: str) -> QueueShare:
-        """Return the sums over all other routers."""
+        """Return the totals over all other routers."""
         known = self._services.get(service)
         if known is None:
-            return NOTHING
+            return EMPTY_SHARE
         arrivals_per_s = sum(told.share.arrivals_per_s for told in known.by_router.values())
         return QueueShare(known.in_time, arrivals_per_s)
 
     def in_time(self, service: str) -> int:
-        """Return how many wait elsewhere that can still meet their target."""
+        """Return how many waiters at other routers can still meet their target."""
         known = self._services.get(service)
         return known.in_time if known is not None else 0
 
     def turns(self, service: str) -> list[Turn]:
-        """Return whose turn is next at each other router where something waits."""
+        """Return the next turn at each other router with a non-empty queue."""
         known = self._services.get(service)
         return list(known.turns.values()) if known is not None else []
 
     def size(self) -> int:
-        """Return how many rows are kept."""
+        """Return the number of stored reports."""
         return sum(len(known.by_router) for known in self._services.values())
 
     def _turn(self, router: str, share: QueueShare, now_s: float) -> Turn | None:
--- a/src/yokedock/request/remote_promises.py
+++ b/src/yokedock/request/remote_promises.py
@@ -39,12 +39,12 @@
         self.prefill_tokens -= share.prefill_tokens
 
 
-NOTHING = EngineTotals()
+NO_TOTALS = EngineTotals()
 """The sums at an engine of which nobody told anything; it is never changed."""
-NO_SHARE = EngineShare()
+EMPTY_SHARE = EngineShare()
 
 
-class HeardShares(msgspec.Struct, frozen=True):
+class ReportedShares(msgspec.Struct, frozen=True):
     """What one router told last, and when (boot time, s), as far as that is known."""
 
     heard_s: float
@@ -57,9 +57,9 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """Start with nothing heard."""
         self._clock = clock
-        self._heard: dict[str, HeardShares] = {}
+        self._heard: dict[str, ReportedShares] = {}
         self._totals: dict[str, EngineTotals] = {}
-        self._lapse_s = math.inf
+        self._next_expiry_s = math.inf
         """No share lapses before this time."""
 
     def heard(
@@ -71,15 +71,15 @@
         """
         before = self._heard.pop(router, None)
         told_s = self._clock() if told_s is None else told_s
-        self._heard[router] = HeardShares(told_s, shares)
-        self._lapse_s = min(self._lapse_s, told_s + LIFETIME_S)
+        self._heard[router] = ReportedShares(told_s, shares)
+        self._next_expiry_s = min(self._next_expiry_s, told_s + LIFETIME_S)
         for engine, share in shares.items():
             self._totals.setdefault(engine, EngineTotals()).add(share)
         if before is None:
             return False
         self._subtract(before.shares)
         return any(
-            _frees_room(share, shares.get(engine, NO_SHARE))
+            _frees_capacity(share, shares.get(engine, EMPTY_SHARE))
             for engine, share in before.shares.items()
         )
 
@@ -94,20 +94,20 @@
     def drop_lapsed(self) -> bool:
         """Drop what was told too long ago; return whether anything was."""
         now_s = self._clock()
-        if now_s <= self._lapse_s:
+        if now_s <= self._next_expiry_s:
             return False
         oldest_s = now_s - LIFETIME_S
         lapsed = [router for router, heard in self._heard.items() if heard.heard_s < oldest_s]
         for router in lapsed:
             self.forget(router)
         told = (heard.heard_s + LIFETIME_S for heard in self._heard.values())
-        self._lapse_s = min(told, default=math.inf)
+        self._next_expiry_s = min(told, default=math.inf)
         return bool(lapsed)
 
     def totals(self, engine: str) -> EngineTotals:
         """Return the sums at an engine; they are not to be changed."""
         self.drop_lapsed()
-        return self._totals.get(engine, NOTHING)
+        return self._totals.get(engine, NO_TOTALS)
 
     def size(self) -> int:
         """Return how many shares and sums are kept."""
@@ -122,9 +122,9 @@
         for engine, share in shares.items():
             totals = self._totals[engine]
             totals.subtract(share)
-            if totals == NOTHING:
+            if totals == NO_TOTALS:
                 del self._totals[engine]
 
 
-def _frees_room(before: EngineShare, now: EngineShare) -> bool:
+def _frees_capacity(before: EngineShare, now: EngineShare) -> bool:
     return now.memory_tokens < before.memory_tokens or now.streams < before.streams
--- a/src/yokedock/request/room_forecast.py
+++ b/src/yokedock/request/room_forecast.py
@@ -13,15 +13,15 @@
 
 from yokedock.request.stream_turnover import StreamTurnover
 
-LEAST_LEFT_OVER = 0.1
+MIN_LATE_SHARE = 0.1
 """Share of the freed room that the late are taken to get at least: no overload is known to last."""
 ERROR_WEIGHT = 0.1
 """Weight of the newest wait in the learned error: the last ten or so waits count."""
-LARGEST_ERROR = math.log(4.0)
+MAX_LOG_ERROR = math.log(4.0)
 """Bound of the learned error, as a logarithm: one odd wait may not spoil the next predictions."""
-LEAST_WAIT_S = 0.02
+MIN_LEARNED_WAIT_S = 0.02
 """Waits shorter than this tell nothing of the prediction: room came by chance of the moment."""
-LATEST_RETURN = 2.0
+RETRY_AFTER_SPREAD = 2.0
 """Callers are told to come back after one to so many times the predicted wait, evenly spread: those
 who were refused together do not come back together."""
 
@@ -53,17 +53,17 @@
     def wait_s(self, ahead: QueueAhead) -> float:
         """Return the seconds until room comes to whoever has ``ahead`` before it."""
         freed_per_s = max(1, ahead.streams) / self._turnover.mean_s
-        left_over = freed_per_s - ahead.arrivals_per_s
-        rate = max(left_over, LEAST_LEFT_OVER * freed_per_s)
+        unclaimed_per_s = freed_per_s - ahead.arrivals_per_s
+        rate = max(unclaimed_per_s, MIN_LATE_SHARE * freed_per_s)
         return (ahead.in_time + ahead.late + 1.0) / rate * self.error_factor(ahead.is_late)
 
     def note(self, predicted_s: float, waited_s: float, is_late: bool = False) -> None:
         """Learn from a wait that ended, or that was longer than ``waited_s``."""
-        if min(predicted_s, waited_s) < LEAST_WAIT_S:
+        if min(predicted_s, waited_s) < MIN_LEARNED_WAIT_S:
             return
         before = self._log_errors[is_late]
         error = before + math.log(waited_s / predicted_s)
-        error = max(-LARGEST_ERROR, min(LARGEST_ERROR, error))
+        error = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, error))
         self._log_errors[is_late] = before + ERROR_WEIGHT * (error - before)
 
     def error_factor(self, is_late: bool = False) -> float:
--- a/src/yokedock/request/room_order.py
+++ b/src/yokedock/request/turn_order.py
@@ -16,26 +16,26 @@
 way of a datagram."""
 
 
-class RoomOrder:
+class TurnOrder:
     """The order in which the routers' generations take room, as far as this one knows it."""
 
-    def __init__(self, turns_elsewhere: Callable[[str], list[Turn]]) -> None:
-        """``turns_elsewhere`` returns whose turn is next at each other router, by service."""
-        self._turns_elsewhere = turns_elsewhere
+    def __init__(self, remote_turns: Callable[[str], list[Turn]]) -> None:
+        """``remote_turns`` returns whose turn is next at each other router, by service."""
+        self._remote_turns = remote_turns
 
     def is_alone(self, service: str) -> bool:
         """Return whether nothing waits for the engines of a service at other routers."""
-        return not self._turns_elsewhere(service)
+        return not self._remote_turns(service)
 
     def wait_s(self, waiter: Waiter, places: int, now_s: float) -> float:
         """Return after what time a waiter may take one of ``places`` that are free."""
         if places < 1:
-            waiter.room_seen_s = None
+            waiter.capacity_seen_s = None
             return 0.0
-        if waiter.room_seen_s is None:
-            waiter.room_seen_s = now_s
-        own = waiter.place_in_order(now_s)
-        others = self._turns_elsewhere(waiter.call.service.name)
+        if waiter.capacity_seen_s is None:
+            waiter.capacity_seen_s = now_s
+        own = waiter.turn_at(now_s)
+        others = self._remote_turns(waiter.call.service.name)
         before = sum(turn.is_before(own) for turn in others)
         steps = max(0, before - places + 1)
-        return max(0.0, waiter.room_seen_s + steps * STEP_S - now_s)
+        return max(0.0, waiter.capacity_seen_s + steps * STEP_S - now_s)
--- a/src/yokedock/request/room_prediction.py
+++ b/src/yokedock/request/wait_estimator.py
@@ -45,7 +45,7 @@
         return len(times) / ARRIVALS_WINDOW_S
 
 
-class RoomPrediction:
+class WaitEstimator:
     """Counts what goes before a waiter, for the forecast."""
 
     def __init__(
--- a/src/yokedock/request/waiter.py
+++ b/src/yokedock/request/waiter.py
@@ -48,7 +48,7 @@
     predicted_at_s: float = 0.0
     is_late: bool = False
     """Whether that prediction was for a turn behind all that are in time."""
-    room_seen_s: float | None = None
+    capacity_seen_s: float | None = None
     """Since when there has been room that others may take first, None if there is none."""
 
     def turn(self) -> float:
@@ -56,7 +56,7 @@
         deadline_s = self.call.terms.deadline_s
         return self.call.arrived_s + (self.call.limit_s if deadline_s is None else deadline_s)
 
-    def place_in_order(self, now_s: float) -> Turn:
+    def turn_at(self, now_s: float) -> Turn:
         """Return its place among all that wait, the late behind those in time."""
         return Turn(not self.is_in_time(now_s), self.turn())
 
