--- a/src/yokedock/request/call_queue.py
+++ b/src/yokedock/request/call_queue.py
@@ -1,9 +1,9 @@
-"""Calls that wait at this router for a backend of their service: the least time left goes first.
+"""Calls queued at this router for a backend of their service, in earliest-deadline-first order.
 
-Pattern: earliest deadline first, with many waiting. Whoever comes while others wait goes behind
-those with less time left, and knows by its place how long it will wait. Only the first in order
-looks for a backend, and it looks at the forecast for all: the cost of waiting grows with those who
-wait, not with their number times the backends.
+A new call queues behind those with earlier target times and can estimate its wait from its
+position. Only the first call looks for a backend, and it evaluates the forecast for the whole
+queue. The cost of waiting is therefore proportional to the number of queued calls, not to that
+number times the number of backends.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 from yokedock.errors import NoBackend
 
 TIE_WINDOW_S = 0.05
-"""What is told so soon after a call came to wait elsewhere came at the same moment: half of it goes
-before. Two datagrams and their ways."""
+"""Calls reported by other routers within this time after a call was queued count as simultaneous
+with it, and half of them as ahead of it. Covers the latency of two datagrams."""
 
 
 class WaitingCall:
-    """One call's place in the queue."""
+    """A queued call."""
 
     def __init__(self, target_s: float, deadline_s: float = math.inf) -> None:
-        """``target_s``: an answer by then is in time; nobody waits past ``deadline_s``.
+        """``target_s`` is the target time of the response, ``deadline_s`` the latest to wait until.
 
-        Both are of boot time.
+        Both are boot time.
         """
         self.target_s = target_s
         self.deadline_s = deadline_s
@@ -37,17 +37,17 @@
         self._elsewhere = 0.0
         self._woken = asyncio.Event()
         self.refusal: NoBackend | None = None
-        """Set once waiting on is of no use."""
+        """Set once further waiting is pointless."""
 
     @property
     def is_settled(self) -> bool:
-        """Return whether the other routers know of it, so that its place will not get worse."""
+        """Return whether other routers know of the call, so that it can no longer fall back."""
         return boot_time_s() >= self.since_s + TIE_WINDOW_S
 
     def ahead_elsewhere(self, waiting: int) -> float:
-        """Return how many go before it at other routers, where ``waiting`` wait now.
+        """Return how many of the ``waiting`` calls at other routers count as ahead of this one.
 
-        Whoever comes there later goes behind it.
+        Calls that arrive there later are behind it.
         """
         if self._initial_remote is None:
             self._initial_remote, self._elsewhere = waiting, float(waiting)
@@ -59,40 +59,40 @@
         return self._elsewhere
 
     def wake(self) -> None:
-        """Let it look at once."""
+        """Wake the call, so that it looks for a backend at once."""
         self._woken.set()
 
     def refuse(self, error: NoBackend) -> None:
-        """Let it end with ``error``, at once."""
+        """Wake the call and make it fail with ``error``."""
         self.refusal = error
         self._woken.set()
 
     async def sleep(self, longest_s: float | None) -> None:
-        """Wait until it is woken, at most for ``longest_s`` if that is given."""
+        """Wait until woken, for at most ``longest_s`` if given."""
         self._woken.clear()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self._woken.wait(), longest_s)
 
 
 class CallQueue:
-    """The calls that wait for the backends of one service."""
+    """The calls queued for the backends of one service."""
 
     def __init__(self, on_change: Callable[[CallQueue], None]) -> None:
-        """``on_change`` is called with this queue when a call comes or goes."""
+        """``on_change`` is called with this queue whenever a call enters or leaves it."""
         self._on_change = on_change
         self._waiting: list[WaitingCall] = []
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of queued calls."""
         return len(self._waiting)
 
     def since_s(self) -> float:
-        """Return since when the first in order waits (boot time)."""
+        """Return when the first call in order was queued (boot time)."""
         return self._waiting[0].since_s
 
     @contextlib.contextmanager
     def place(self, target_s: float, deadline_s: float) -> Iterator[WaitingCall]:
-        """Let a call stand in the queue."""
+        """Queue a call for the duration of the context."""
         call = WaitingCall(target_s, deadline_s)
         bisect.insort(self._waiting, call, key=lambda one: one.target_s)
         self._on_change(self)
@@ -105,13 +105,13 @@
                 self._waiting[0].wake()
 
     def before(self, call: WaitingCall) -> int:
-        """Return how many go before a call."""
+        """Return the number of calls ahead of a call."""
         return self._waiting.index(call)
 
     def is_first(self, call: WaitingCall) -> bool:
-        """Return whether nobody goes before a call."""
+        """Return whether no call is ahead of this one."""
         return self._waiting[0] is call
 
     def in_order(self) -> list[WaitingCall]:
-        """Return all that wait, whoever goes first at the beginning."""
+        """Return all queued calls in order."""
         return list(self._waiting)
--- a/src/yokedock/request/dispatch_timers.py
+++ b/src/yokedock/request/dispatch_timers.py
@@ -1,4 +1,4 @@
-"""When the queue of waiting generations is looked at again: soon, at a time, and now and then."""
+"""Timers that trigger dispatching of queued generations: soon, at a given time and periodically."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 from yokedock.base.clock import boot_time_s
 
 COALESCE_DELAY_S = 0.003
-"""News of room that come within this time are looked at together."""
+"""Notifications of free capacity within this time are handled in one dispatch."""
 RECHECK_INTERVAL_S = 0.1
-"""Waiting generations look for room at least this often: promises of a silent router lapse."""
+"""Maximum time between dispatches, since the reservations of a silent router expire unannounced."""
 
 
 class DispatchTimers:
-    """Timers of the looks for room. Each kind is due once at a time, however often it is asked for.
+    """Timers for dispatches. A request is dropped if one of its kind is pending that is no later.
 
-    ``look`` looks for room for all that wait; ``is_waiting`` tells whether anybody does.
+    ``look`` dispatches all queues; ``is_waiting`` returns whether any generation is queued.
     """
 
     def __init__(self, look: Callable[[], None], is_waiting: Callable[[], bool]) -> None:
-        """Start with nothing due."""
+        """Start with no pending timer."""
         self._look = look
         self._is_waiting = is_waiting
         self._is_soon_due = False
@@ -29,19 +29,19 @@
         self._due_s = math.inf
 
     def soon(self) -> None:
-        """Look soon, with what else is heard in this moment."""
+        """Dispatch after a short delay that collects further notifications."""
         if not self._is_soon_due and self._is_waiting():
             self._is_soon_due = True
             asyncio.get_running_loop().call_later(COALESCE_DELAY_S, self._on_soon)
 
     def start_rechecks(self) -> None:
-        """Look at intervals, for as long as anybody waits."""
+        """Dispatch periodically while any generation is queued."""
         if not self._is_recheck_due:
             self._is_recheck_due = True
             asyncio.get_running_loop().call_later(RECHECK_INTERVAL_S, self._on_recheck)
 
     def after(self, wait_s: float) -> None:
-        """Look after ``wait_s``, unless such a look is due sooner."""
+        """Dispatch after ``wait_s``, unless an earlier dispatch of this kind is pending."""
         due_s = boot_time_s() + wait_s
         if due_s < self._due_s:
             self._due_s = due_s
--- a/src/yokedock/request/engine_choice.py
+++ b/src/yokedock/request/engine_choice.py
@@ -1,4 +1,4 @@
-"""Chooses the engines of one generation from what all routers promised, if any has room."""
+"""Selection of the engines for a generation, based on the reservations of all routers."""
 
 from __future__ import annotations
 
@@ -28,20 +28,21 @@
 from yokedock.version.route_table import EngineTraits
 
 MAX_MEMORY_FILL = 0.98
-"""Share of an engine's memory that is promised."""
+"""Share of an engine's memory that may be reserved."""
 MAX_CANDIDATES = 48
-"""Engines of a role that one placement weighs. Above that they are drawn by chance: with 48 of
-several hundred drawn, the best of them is among the best 5 in 100 nine times of ten (1 - 0.95^48 =
-0.91), and a placement costs as much in a fleet of any size."""
+"""Maximum number of engines per role evaluated for a placement; larger pools are sampled at random.
+With 48 sampled out of several hundred, the best of them is among the best 5% of the pool with a
+probability of 0.91 (1 - 0.95^48), and the cost of a placement does not depend on the fleet's
+size."""
 
 
 class EngineChoice:
-    """Chooses among the engines that have room."""
+    """Selects among the engines that have capacity."""
 
     def __init__(
         self, registry: BackendRegistry, ledger: EngineLedger, mechanisms: Mechanisms = ALL_ON
     ) -> None:
-        """Share the process's backends and promises."""
+        """``registry`` and ``ledger`` are those shared by the whole process."""
         self._mechanisms = mechanisms
         self._costs = EngineCosts(ledger, mechanisms)
         self._registry = registry
@@ -50,9 +51,9 @@
         self._random = new_random()
 
     def choose(self, call: RoutedCall, progress: Progress) -> Placement | None:
-        """Return the cheaper of a pair of engines and one that does both, its memory promised.
+        """Select a prefill/decode pair or one engine for both phases, whichever costs less.
 
-        Returns None if no engine has room.
+        Reserves memory at the decode engine. Returns None if no engine has capacity.
         """
         terms, traits = call.terms.generation, call.service.engine
         assert terms is not None and traits is not None
@@ -68,48 +69,48 @@
         cache_holders = self._cache_holders(service, sought)
         if not self._mechanisms.cached_copies:
             names = {candidate.backend.name for candidate in available}
-            cache_holders = [keeper for keeper in cache_holders if keeper.name in names]
+            cache_holders = [holder for holder in cache_holders if holder.name in names]
         if cache_holders and not self._mechanisms.cached_copies:
             return self._open_placement(cache_holders[0], None, sought)
         candidates = [self._costs.weighed(one, sought) for one in available[:MAX_CANDIDATES]]
         if cache_holders:
             return self._reserve_near_cache(candidates, cache_holders, sought)
-        alone = min(candidates, key=colocated_cost_s)
-        opened = [p for p in self._sampled(prefills, sought) if self._is_eligible(p, sought)]
-        pair = self._costs.best_pair(opened, candidates, sought)
+        colocated = min(candidates, key=colocated_cost_s)
+        eligible = [p for p in self._sampled(prefills, sought) if self._is_eligible(p, sought)]
+        pair = self._costs.best_pair(eligible, candidates, sought)
         if pair is not None:
-            colocated_s = alone.colocated_s + self._costs.colocated_penalty_s(
-                call, alone.backend, pair.cost_s
+            colocated_s = colocated.colocated_s + self._costs.colocated_penalty_s(
+                call, colocated.backend, pair.cost_s
             )
-            if self._costs.would_interfere(call, alone.backend):
+            if self._costs.would_interfere(call, colocated.backend):
                 colocated_s += INTERFERENCE_COST_S
             if pair.cost_s <= colocated_s or not self._mechanisms.decode_reads:
                 return self._open_placement(pair.decode, pair.prefill, sought)
-        return self._open_placement(alone.backend, None, sought)
+        return self._open_placement(colocated.backend, None, sought)
 
     def places(self, call: RoutedCall, progress: Progress) -> int:
-        """Return how many generations like this one have room now, over all engines."""
+        """Return how many generations like this one currently fit on all engines together."""
         terms, traits = call.terms.generation, call.service.engine
         assert terms is not None and traits is not None
         sought = Sought(terms, progress, traits)
-        need = stream_demand("", terms, progress.made).memory_tokens()
+        needed_tokens = stream_demand("", terms, progress.made).memory_tokens()
         return sum(
-            self._capacity_at(available, traits, need)
+            self._capacity_at(available, traits, needed_tokens)
             for available in self._with_capacity(
                 self._registry.usable(call.service.name, DECODE_ROLE), sought
             )
         )
 
-    def _capacity_at(self, available: RoomyEngine, traits: EngineTraits, need: int) -> int:
+    def _capacity_at(self, available: RoomyEngine, traits: EngineTraits, needed_tokens: int) -> int:
         free_tokens = MAX_MEMORY_FILL * traits.memory_tokens - available.load.memory_tokens
         free_slots = traits.slots - available.load.streams
-        return max(1, min(free_slots, int(free_tokens / max(1, need))))
+        return max(1, min(free_slots, int(free_tokens / max(1, needed_tokens))))
 
     def first_token_s(self, call: RoutedCall, progress: Progress) -> float:
-        """Return the shortest time from a placement to the first token, with nothing before it.
+        """Return the minimum time from placement to first token, on idle engines.
 
-        What waits at the engines now may be gone by then, and who is taken for late too early loses
-        its turn to newcomers.
+        Current queues are ignored, as they may be gone by then, and a generation that is classified
+        as late too early loses its turn to new arrivals.
         """
         terms = call.terms.generation
         if terms is None or progress.cached_at:
@@ -124,7 +125,7 @@
         return START_S + min(prefill_times_s, default=0.0)
 
     def _cache_holders(self, service: str, sought: Sought) -> list[Backend]:
-        """Return the engines that keep the prompt in their prefix cache."""
+        """Return the engines that hold the prompt in their prefix cache."""
         if not sought.progress.cached_at:
             return []
         now_s = boot_time_s()
@@ -139,16 +140,16 @@
     def _reserve_near_cache(
         self, candidates: list[DecodeCandidate], cache_holders: list[Backend], sought: Sought
     ) -> Placement:
-        """Promise memory where the prompt is kept, or near to there: it is not read again."""
-        decode, keeper = self._costs.cheapest_cached(candidates, cache_holders)
+        """Place the generation on or near an engine that caches the prompt, with no new prefill."""
+        decode, holder = self._costs.cheapest_cached(candidates, cache_holders)
         placement = self._open_placement(decode, None, sought)
-        fetch_from = None if decode is keeper else keeper
+        fetch_from = None if decode is holder else holder
         return msgspec.structs.replace(placement, fetch_from=fetch_from)
 
     def _open_placement(
         self, decode: Backend, prefill: Backend | None, sought: Sought
     ) -> Placement:
-        """Promise memory at the chosen engine, and take the permits of engines that are limited."""
+        """Reserve memory at the decode engine, and take permits of rate-limited engines."""
         demand = stream_demand(decode.name, sought.terms, sought.progress.made)
         promise = self._ledger.open_stream(demand)
         now_s = boot_time_s()
@@ -165,7 +166,7 @@
         )
 
     def _sampled(self, engines: list[Backend], sought: Sought) -> list[Backend]:
-        """Return the engines to look at: all, or some by chance, the prompt's home and keepers."""
+        """Return all engines, or a random sample including the prompt's homes and cache holders."""
         if len(engines) <= MAX_CANDIDATES:
             return engines
         wanted = sought.homes | sought.progress.cached_at
@@ -174,10 +175,10 @@
         return always + self._random.sample(engines, MAX_CANDIDATES - len(always))
 
     def _with_capacity(self, decodes: list[Backend], sought: Sought) -> list[RoomyEngine]:
-        """Return the decode engines with room for one more stream and its memory."""
-        need = stream_demand("", sought.terms, sought.progress.made).memory_tokens()
+        """Return the decode engines with a free slot and enough memory for another stream."""
+        needed_tokens = stream_demand("", sought.terms, sought.progress.made).memory_tokens()
         slots = sought.traits.slots
-        max_reserved = MAX_MEMORY_FILL * sought.traits.memory_tokens - need
+        max_reserved = MAX_MEMORY_FILL * sought.traits.memory_tokens - needed_tokens
         load_of = self._ledger.load
         available: list[RoomyEngine] = []
         for backend in decodes:
@@ -192,7 +193,7 @@
         return not is_avoided and not self._registry.is_changing(backend.name)
 
     def _homes(self, service: str, terms: GenerationTerms) -> frozenset[str]:
-        """Return the homes of a prompt, one of each role, by its last part."""
+        """Return the home engines of a prompt, one per role, as given by its last part."""
         if not terms.parts or not self._mechanisms.prompt_homes:
             return frozenset()
         part_id = terms.parts[-1].part_id
--- a/src/yokedock/request/engine_costs.py
+++ b/src/yokedock/request/engine_costs.py
@@ -1,4 +1,4 @@
-"""What speaks for and against each engine of one generation, in seconds until its first token."""
+"""Cost model for the candidate engines of a generation, in seconds until its first token."""
 
 from __future__ import annotations
 
@@ -17,67 +17,71 @@
 from yokedock.version.route_table import EngineTraits
 
 OTHER_ZONE_COST_S = 0.05
-"""How much later an engine in the same zone may be before one in another zone is better."""
+"""Added to the cost of a pair in different zones: an engine in the same zone may be this much
+later."""
 COLOCATED_PREFILL_SLOWDOWN = 2.0
-"""A decode engine reads prompts this much slower than a prefill engine (the platform's figure)."""
+"""Prefill on a decode engine takes this many times as long as on a prefill engine (platform
+value)."""
 COLOCATED_PENALTY_S = 0.1
 COLOCATED_FULL_PENALTY_S = 0.6
-"""How much sooner reading on the decode engine must be, on an empty and on a full engine: it slows
-all streams there, and so the rate at which room comes free."""
+"""How much faster prefill on the decode engine has to be than a pair: by ``COLOCATED_PENALTY_S`` on
+an empty engine, by the sum of both on a full one. It slows down all streams there, and thus the
+rate at which capacity becomes free."""
 TRANSFER_COST_S = 0.3
-"""How much later reading on the decode engine may be, since a pair moves the prompt's memory and
-keeps two engines busy. With the handicaps: a decode engine that is less than a third full reads
-alone, one that is fuller only where the pair is that much slower."""
+"""How much slower prefill on the decode engine may be, since a pair has to transfer the prompt's KV
+cache and keeps two engines busy. Net of the penalties, a decode engine less than one third full may
+be slower than the pair, and a fuller one has to be faster."""
 TARGET_MARGIN_S = 0.25
-"""A pair predicted to be later than this before the target is no better than reading alone."""
+"""A pair predicted to finish later than this before the target has no advantage over prefill on the
+decode engine, so that only ``COLOCATED_PENALTY_S`` is applied."""
 CACHE_COPY_COST_S = 0.25
-"""How much later an engine that keeps the prompt may be before it is copied to another."""
+"""Cost of copying a cached prompt: an engine that already holds it may be this much later."""
 AFFINITY_BONUS_S = 0.1
 UTILIZATION_COST_S = 0.1
 SLOWNESS_COST_S = 0.3
-"""What an engine costs that makes tokens half as fast as is typical, above what is tolerated."""
+"""Cost of generating tokens at half the typical speed, counted beyond ``SLOWNESS_TOLERANCE``."""
 SLOWNESS_TOLERANCE = 1.15
 MAX_PAUSE_SHARE = 0.92
-"""Share of the longest pause that is allowed which reading beside streams may bring about."""
+"""Share of the gap target that a pause caused by prefilling beside streams may take up."""
 INTERFERENCE_COST_S = 0.5
 START_S = 0.08
-"""From the end of a prefill to the first token: transfer and first step."""
+"""Time from the end of the prefill to the first token: transfer and first decode step."""
 
 
 class Sought(msgspec.Struct, frozen=True):
-    """What a placement is sought for."""
+    """The requirements of a placement."""
 
     terms: GenerationTerms
     progress: Progress
     traits: EngineTraits
     homes: frozenset[str] = frozenset()
-    """Where the prompt goes, at whichever router it comes: one engine of each role."""
+    """The prompt's home engines, one per role and the same at every router."""
 
     @property
     def tokens(self) -> int:
-        """Return the tokens to be read."""
+        """Return the number of tokens to prefill."""
         return self.terms.prompt_tokens + self.progress.made
 
 
 class RoomyEngine(msgspec.Struct, frozen=True, gc=False):
-    """A decode engine with room, and what is promised there."""
+    """A decode engine with capacity, and the load reserved there."""
 
     backend: Backend
     load: EngineTotals
 
 
 class DecodeCandidate(msgspec.Struct, frozen=True, gc=False):
-    """A decode engine and what it costs, in seconds."""
+    """A decode engine and its costs, in seconds."""
 
     backend: Backend
     cost_s: float
-    """As one of a pair."""
+    """Cost as the decode engine of a pair."""
     colocated_s: float
-    """If it reads the prompt too."""
+    """Cost if it prefills the prompt as well."""
 
 
 class EnginePair(msgspec.Struct, frozen=True, gc=False):
-    """A prefill and a decode engine and the predicted time to the first token, in seconds."""
+    """A prefill and a decode engine, with the predicted time to the first token in seconds."""
 
     prefill: Backend
     decode: Backend
@@ -89,15 +93,15 @@
 
 
 def colocated_cost_s(candidate: DecodeCandidate) -> float:
-    """Return what an engine costs that reads the prompt too, in seconds."""
+    """Return the cost of a decode engine that prefills the prompt as well, in seconds."""
     return candidate.colocated_s
 
 
 class EngineCosts:
-    """Weighs engines by promised memory, reading backlog, pace and failures."""
+    """Computes engine costs from reserved memory, prefill backlog, speed and failures."""
 
     def __init__(self, ledger: EngineLedger, mechanisms: Mechanisms) -> None:
-        """Share the process's promises."""
+        """``ledger`` is the one shared by the whole process."""
         self._ledger = ledger
         self._mechanisms = mechanisms
 
@@ -114,10 +118,11 @@
     def best_pair(
         self, prefills: Iterable[Backend], candidates: list[DecodeCandidate], sought: Sought
     ) -> EnginePair | None:
-        """Return the cheapest pair, None without a prefill engine.
+        """Return the cheapest pair, None if there is no prefill engine.
 
-        The cost of a pair is that of its two engines and one for different zones: the cheapest pair
-        is one of the cheapest of each zone, so that the work grows with the sum of both kinds.
+        The cost of a pair is the sum of the costs of its engines, plus a surcharge for different
+        zones. It is therefore sufficient to consider the cheapest decode engine of each zone, and
+        the effort grows with the sum of the numbers of engines instead of their product.
         """
         by_zone: dict[str, DecodeCandidate] = {}
         for candidate in candidates:
@@ -139,50 +144,50 @@
     def cheapest_cached(
         self, candidates: list[DecodeCandidate], cache_holders: list[Backend]
     ) -> tuple[Backend, Backend]:
-        """Return an engine to decode at and the keeper of the prompt that it is copied from."""
+        """Return the cheapest decode engine and the cache holder to copy the prompt from."""
 
-        def cost_s(candidate: DecodeCandidate, keeper: Backend) -> float:
+        def cost_s(candidate: DecodeCandidate, holder: Backend) -> float:
             decode = candidate.backend
             cost_s = self._ledger.backlog_s(decode.name) + candidate.cost_s
-            if decode is not keeper:
+            if decode is not holder:
                 cost_s += CACHE_COPY_COST_S
-                if decode.entry.zone != keeper.entry.zone:
+                if decode.entry.zone != holder.entry.zone:
                     cost_s += OTHER_ZONE_COST_S
             return cost_s
 
-        pairs = [(candidate, keeper) for candidate in candidates for keeper in cache_holders]
-        candidate, keeper = min(pairs, key=lambda pair: cost_s(*pair))
-        return candidate.backend, keeper
+        pairs = [(candidate, holder) for candidate in candidates for holder in cache_holders]
+        candidate, holder = min(pairs, key=lambda pair: cost_s(*pair))
+        return candidate.backend, holder
 
-    def colocated_penalty_s(self, call: RoutedCall, alone: Backend, pair_s: float) -> float:
-        """Return how much sooner reading alone must be: more on a full engine."""
+    def colocated_penalty_s(self, call: RoutedCall, colocated: Backend, pair_s: float) -> float:
+        """Return how much faster prefill on ``colocated`` must be; it grows with utilization."""
         if boot_time_s() + pair_s >= call.target_s - TARGET_MARGIN_S:
             return COLOCATED_PENALTY_S
         traits = call.service.engine
         assert traits is not None
-        fullness = self._ledger.memory_tokens(alone.name) / traits.memory_tokens
+        fullness = self._ledger.memory_tokens(colocated.name) / traits.memory_tokens
         transfer_s = TRANSFER_COST_S if self._mechanisms.decode_reads_when_calm else 0.0
         return COLOCATED_PENALTY_S + COLOCATED_FULL_PENALTY_S * fullness - transfer_s
 
-    def would_interfere(self, call: RoutedCall, alone: Backend) -> bool:
-        """Return whether reading on ``alone`` makes pauses there longer than the target."""
+    def would_interfere(self, call: RoutedCall, colocated: Backend) -> bool:
+        """Return whether prefill on ``colocated`` would cause too long pauses in its streams."""
         longest_s = MAX_PAUSE_SHARE * call.route.gap_target_s
-        is_slow = self._ledger.pace.reading_pause_s(alone.name) > longest_s > 0
-        return is_slow and self._ledger.streams(alone.name) > 0
+        is_slow = self._ledger.pace.reading_pause_s(colocated.name) > longest_s > 0
+        return is_slow and self._ledger.streams(colocated.name) > 0
 
     def _prefill_cost_s(self, prefill: Backend, sought: Sought) -> float:
-        """Return the predicted time to read the prompt, and the engine's risk and bonus."""
+        """Return the predicted prefill time, plus failure cost and minus any affinity bonus."""
         load = self._ledger.load(prefill.name)
         cost_s = self._prefill_time_s(prefill, load, sought) + self._failure_cost_s(prefill)
         return cost_s - AFFINITY_BONUS_S if prefill.name in sought.homes else cost_s
 
     def _prefill_time_s(self, engine: Backend, load: EngineTotals, sought: Sought) -> float:
-        """Return the predicted time to read the prompt."""
+        """Return the predicted time to prefill the prompt, including the backlog."""
         tokens_to_prefill = load.prefill_tokens + sought.tokens
         return tokens_to_prefill / self._ledger.pace.read_rate(engine.name)
 
     def _decode_cost_s(self, decode: Backend, load: EngineTotals, sought: Sought) -> float:
-        """Return the cost of a decode engine: how full and slow it is, its failures."""
+        """Return the cost of a decode engine from its utilization, speed, affinity and failures."""
         fullness = load.memory_tokens / sought.traits.memory_tokens
         slowness = self._ledger.pace.slowness(decode.name) - SLOWNESS_TOLERANCE
         cost_s = START_S + UTILIZATION_COST_S * fullness + SLOWNESS_COST_S * max(0.0, slowness)
@@ -195,7 +200,7 @@
 
 
 def stream_demand(engine: str, terms: GenerationTerms, made: int) -> StreamDemand:
-    """Return the memory a generation is expected to take at ``engine``."""
+    """Return the memory demand expected of a generation at ``engine``."""
     expected = terms.output_hint if terms.output_hint is not None else terms.most_output_tokens / 2
     expected = min(expected, terms.most_output_tokens)
     return StreamDemand(engine, terms.prompt_tokens, expected, terms.most_output_tokens, made)
--- a/src/yokedock/request/turn_order.py
+++ b/src/yokedock/request/turn_order.py
@@ -1,8 +1,8 @@
-"""Who takes room that came free, where several routers see it at the same moment.
+"""Order in which several routers take capacity that they all see become free.
 
-Each router tells whose turn is next with it. Whoever has as many routers with an earlier turn
-before it as there are places waits for each one too many as long as the news of a promise take; it
-finds the room taken then, or takes it where those before it did not.
+Each router announces the turn of its next waiter. If at least as many routers have an earlier turn
+as there are free slots, a waiter delays by one propagation time per turn by which it misses a slot.
+After that it sees the capacity as reserved, or takes it if the routers ahead did not.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 from yokedock.request.waiter import Turn, Waiter
 
 STEP_S = 0.015
-"""From a promise until the other routers know of it: a router speaks at most every 10 ms, and the
-way of a datagram."""
+"""Time until a reservation is known to the other routers: the minimum interval of 10 ms between a
+router's messages, plus datagram latency."""
 
 
 class TurnOrder:
-    """The order in which the routers' generations take room, as far as this one knows it."""
+    """The order in which the routers' waiters take capacity, as far as known to this router."""
 
     def __init__(self, remote_turns: Callable[[str], list[Turn]]) -> None:
-        """``remote_turns`` returns whose turn is next at each other router, by service."""
+        """``remote_turns`` returns the next turn at each other router for a service."""
         self._remote_turns = remote_turns
 
     def is_alone(self, service: str) -> bool:
-        """Return whether nothing waits for the engines of a service at other routers."""
+        """Return whether no generation waits for the service at another router."""
         return not self._remote_turns(service)
 
     def wait_s(self, waiter: Waiter, places: int, now_s: float) -> float:
-        """Return after what time a waiter may take one of ``places`` that are free."""
+        """Return the delay before a waiter may take one of the ``places`` free slots."""
         if places < 1:
             waiter.capacity_seen_s = None
             return 0.0
--- a/src/yokedock/request/wait_estimator.py
+++ b/src/yokedock/request/wait_estimator.py
@@ -1,4 +1,4 @@
-"""What stands before a generation that waits for room: here, elsewhere, and still to come."""
+"""Estimates the wait of a queued generation from the work ahead of it and expected arrivals."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 from yokedock.request.waiter import Waiter
 
 ARRIVALS_WINDOW_S = 2.0
-"""Arrivals of this time count as the present rate."""
+"""Length of the window over which the arrival rate is measured."""
 
 
 class RecentArrivals:
-    """How many generations came here lately, by service."""
+    """The recent arrival rate of generations at this router, by service."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start with no arrivals."""
         self._times: dict[str, collections.deque[float]] = {}
 
     def note(self, service: str) -> None:
-        """Note an arrival."""
+        """Record an arrival."""
         self._times.setdefault(service, collections.deque()).append(boot_time_s())
 
     def services(self) -> list[str]:
-        """Return the services at which some came."""
+        """Return the services with recorded arrivals."""
         return list(self._times)
 
     def per_s(self, service: str) -> float:
-        """Return how many came in a second."""
+        """Return the arrivals per second within the window."""
         times = self._times.get(service)
         if times is None:
             return 0.0
@@ -46,7 +46,7 @@
 
 
 class WaitEstimator:
-    """Counts what goes before a waiter, for the forecast."""
+    """Estimates waits from the forecast and the rate limits and rest periods of engines."""
 
     def __init__(
         self,
@@ -56,7 +56,7 @@
         elsewhere: Callable[[str], QueueShare],
         arrivals: RecentArrivals,
     ) -> None:
-        """``elsewhere`` sums what waits for the engines of a service at all other routers."""
+        """``elsewhere`` returns the totals queued for a service at all other routers."""
         self._registry = registry
         self._ledger = ledger
         self._forecast = forecast
@@ -64,9 +64,10 @@
         self._arrivals = arrivals
 
     def wait_s(self, ahead: QueueAhead, service: str) -> float:
-        """Return the seconds until room comes, not before an engine's rest ends.
+        """Return the estimated wait in seconds.
 
-        Nor faster than engines that have all named a limit take streams.
+        It is no shorter than the engines' remaining rest period, and, if all of them have announced
+        a rate limit, than the time those limits need to admit the waiters ahead.
         """
         rest_s = self._registry.rest_left_s(service, DECODE_ROLE)
         wait_s = max(rest_s, self._forecast.wait_s(ahead))
@@ -76,7 +77,7 @@
         return wait_s
 
     def ahead(self, waiter: Waiter, queue: Iterable[Waiter]) -> QueueAhead:
-        """Return what goes before a waiter: those in time, and newcomers too if it will be late."""
+        """Return the work ahead of a waiter, including new arrivals if it will be late."""
         now_s = boot_time_s()
         service = waiter.call.service.name
         engines = self._registry.usable(service, DECODE_ROLE)
@@ -85,7 +86,7 @@
         elsewhere = self._elsewhere(service)
         if waiter.is_in_time(now_s):
             before = [w for w in others if w.is_in_time(now_s) and w.turn() < waiter.turn()]
-            # Of those at other routers as many go before it as behind it.
+            # Assume that half of the waiters at other routers go ahead of this one.
             ahead = QueueAhead(streams, len(before) + elsewhere.in_time / 2)
             if now_s + self._forecast.wait_s(ahead) <= waiter.in_time_until_s:
                 return ahead
