--- a/src/yokedock/request/arrival_rates.py
+++ b/src/yokedock/request/arrival_rates.py
@@ -1,4 +1,5 @@
-"""How often work of each priority is asked for at one engine, and how long it is: running means."""
+"""Decaying averages of the arrival rate and output length of requests at one engine, by
+priority."""
 
 from __future__ import annotations
 
@@ -6,12 +7,12 @@
 import math
 
 TIME_CONSTANT_S = 5.0
-"""A burst is forgotten over about this time."""
+"""Time constant of the exponential decay."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ExpectedWork:
-    """Work that is expected: arrivals a second, and the mean output of one, tokens."""
+    """Expected work: arrivals per second and their mean output in tokens."""
 
     per_s: float
     mean_tokens: float
@@ -19,14 +20,14 @@
 
 @dataclasses.dataclass
 class DecayingSum:
-    """Arrivals and their tokens, each weighing less the older it is."""
+    """Exponentially decaying sums of arrivals and their tokens."""
 
     arrivals: float = 0.0
     tokens: float = 0.0
     updated_s: float = 0.0
 
     def decay(self, now: float) -> None:
-        """Let what is summed up fade until ``now``."""
+        """Apply the decay up to ``now``."""
         share = math.exp(-(now - self.updated_s) / TIME_CONSTANT_S)
         self.arrivals *= share
         self.tokens *= share
@@ -34,21 +35,21 @@
 
 
 class ArrivalRates:
-    """Arrivals by priority. Not safe for several threads: the owner's lock guards it."""
+    """Arrivals by priority. Not thread-safe: callers hold the owner's lock."""
 
     def __init__(self) -> None:
-        """Start with no arrival."""
+        """Start with no arrivals."""
         self._sums: dict[int, DecayingSum] = {}
 
     def arrived(self, priority: int, tokens: int, now: float) -> None:
-        """Note one arrival of ``tokens`` output at the boot time ``now``, seconds."""
+        """Record an arrival with ``tokens`` of output at boot time ``now``, in seconds."""
         known = self._sums.setdefault(priority, DecayingSum(updated_s=now))
         known.decay(now)
         known.arrivals += 1
         known.tokens += tokens
 
     def above(self, priority: int, now: float) -> ExpectedWork:
-        """Return the work of all higher priorities."""
+        """Return the expected work of all higher priorities."""
         higher = [known for rank, known in self._sums.items() if rank > priority]
         for known in higher:
             known.decay(now)
--- a/src/yokedock/request/engine_ledger.py
+++ b/src/yokedock/request/engine_ledger.py
@@ -1,7 +1,7 @@
-"""Who has promised what of each model engine's memory and reading time, over all routers.
+"""Reservations of engine memory and pending prefill work, across all routers.
 
-Each router keeps its own streams here and hears the sums of the others; together they are what an
-engine will be asked for, known sooner than the engine's own reports.
+Each router records its own streams here and receives the totals of the others. Together they give
+the load an engine is about to have, earlier than the engine's own reports.
 """
 
 from __future__ import annotations
@@ -19,13 +19,15 @@
 from yokedock.request.stream_turnover import StreamTurnover
 
 EXPECTED_GROWTH_SHARE = 0.75
-"""Share of the output still expected that is counted: not all streams are longest at once."""
+"""Share of the expected remaining output that is reserved: streams do not all peak at the same
+time."""
 OVERRUN_SHARE = 0.35
-"""A stream beyond its expected length is expected to go on for this share of what it has made."""
+"""A stream past its expected length is assumed to generate this share of its output so far in
+addition."""
 
 
 class StreamDemand(msgspec.Struct):
-    """Memory that one stream takes and will take, in tokens."""
+    """Current and expected memory use of one stream, in tokens."""
 
     engine: str
     prompt_tokens: int
@@ -34,7 +36,7 @@
     made: int = 0
 
     def memory_tokens(self) -> int:
-        """Return the memory to set aside for the stream."""
+        """Return the memory to reserve for the stream."""
         remaining_output = self.expected_output - self.made
         if remaining_output <= 0:
             remaining_output = min(self.max_output - self.made, OVERRUN_SHARE * self.made)
@@ -44,7 +46,7 @@
 
 
 class PrefillDemand(msgspec.Struct):
-    """One prompt that is being read."""
+    """A prefill in progress."""
 
     engine: str
     tokens: int
@@ -56,33 +58,33 @@
 
 
 class EngineLedger:
-    """Promises of this router and, as heard last, of the others."""
+    """The reservations of this router and, as last reported, of the others."""
 
     def __init__(
         self, clock: Callable[[], float] = boot_time_s, mechanisms: Mechanisms = ALL_ON
     ) -> None:
-        """Start with nothing promised."""
+        """Start with no reservations."""
         self._clock = clock
         self._counts_remote = mechanisms.promises_of_others
         self._demands: dict[int, StreamDemand] = {}
         self._prefills: dict[int, PrefillDemand] = {}
         self._demands_at: dict[str, dict[int, StreamDemand]] = {}
         self._prefills_at: dict[str, dict[int, PrefillDemand]] = {}
-        """The same by engine: what is asked most is what stands at one engine."""
+        """The same demands by engine, since most queries are for a single engine."""
         self._remote = RemotePromises(clock)
         self.pace = EnginePace(clock, mechanisms.pace)
         self.turnover = StreamTurnover()
         self._opened_s: dict[int, float] = {}
         self._next_key = 0
         self.on_change: Callable[[], None] = lambda: None
-        """Called when this router's promises change."""
+        """Called when this router's reservations change."""
         self.on_room: Callable[[], None] = lambda: None
-        """Called when room may have come free, here or elsewhere."""
+        """Called when capacity may have become free, through this router or another."""
 
-    # --- This router's promises ---
+    # --- This router's reservations ---
 
     def open_stream(self, demand: StreamDemand) -> int:
-        """Promise memory to a stream; return the key to close it with."""
+        """Reserve memory for a stream; return the key with which to close it."""
         key = self._new_key()
         self._demands[key] = demand
         self._demands_at.setdefault(demand.engine, {})[key] = demand
@@ -91,7 +93,7 @@
         return key
 
     def close_stream(self, key: int) -> None:
-        """Take the promise back."""
+        """Release a stream's reservation."""
         demand = self._demands.pop(key, None)
         if demand is not None:
             _remove(self._demands_at, demand.engine, key)
@@ -100,7 +102,7 @@
         self.on_room()
 
     def open_prefill(self, engine: str, tokens: int) -> int:
-        """Note that a prompt is being read; return the key to close it with."""
+        """Record the start of a prefill; return the key with which to close it."""
         key = self._new_key()
         ahead = self.prefill_backlog(engine)
         demand = PrefillDemand(engine, tokens, ahead, self._clock())
@@ -110,7 +112,7 @@
         return key
 
     def close_prefill(self, key: int, is_done: bool) -> None:
-        """Note that the prompt is read, or was given up; learn the pace from what was read."""
+        """Record the end of a prefill; learn the engine's prefill speed if it completed."""
         demand = self._prefills.pop(key, None)
         if demand is None:
             return
@@ -121,7 +123,7 @@
         self.on_change()
 
     def shares(self) -> dict[str, EngineShare]:
-        """Return what this router has at each engine."""
+        """Return this router's reservations per engine."""
         shares: dict[str, EngineShare] = {}
         for demand in self._demands.values():
             share = shares.setdefault(demand.engine, EngineShare())
@@ -134,11 +136,11 @@
         return shares
 
     def size(self) -> int:
-        """Return how many rows of promises are kept, this router's own and those of others."""
+        """Return the number of stored reservations, of this router and others."""
         return self._own_size() + self._remote.size()
 
     def levels(self) -> dict[str, float]:
-        """Return what operators see: rows of its own, rows of others and the age of the oldest."""
+        """Return gauges for operators: own and remote rows, and the oldest report's age."""
         return {
             "promises_own": self._own_size(),
             "promises_heard": self._remote.size(),
@@ -148,12 +150,12 @@
     def _own_size(self) -> int:
         return len(self._demands) + len(self._prefills) + len(self._opened_s)
 
-    # --- What others promised ---
+    # --- Reservations of other routers ---
 
     def heard(
         self, router: str, shares: dict[str, EngineShare], told_s: float | None = None
     ) -> None:
-        """Take over what another router has at each engine, told just now or at ``told_s``."""
+        """Store another router's reservations per engine, reported now or at ``told_s``."""
         has_freed_capacity = self._counts_remote and self._remote.heard(router, shares, told_s)
         for engine, share in shares.items():
             self.pace.heard(engine, share.pause_ms, share.read_tokens_per_ms, told_s)
@@ -161,19 +163,19 @@
             self.on_room()
 
     def forget(self, router: str) -> None:
-        """Drop what a router that left had promised."""
+        """Remove the reservations of a router that left."""
         if self._remote.forget(router):
             self.on_room()
 
     def drop_lapsed(self) -> None:
-        """Drop what routers that fell silent had promised, whether or not anybody asks for it."""
+        """Remove expired reservations of silent routers, independently of any query."""
         if self._remote.drop_lapsed():
             self.on_room()
 
-    # --- Sums ---
+    # --- Totals ---
 
     def load(self, engine: str) -> EngineTotals:
-        """Return all that is promised at ``engine``; it is not to be changed."""
+        """Return the total load reserved at ``engine``; callers must not modify it."""
         remote = self._remote.totals(engine)
         demands = self._demands_at.get(engine)
         prefills = self._prefills_at.get(engine)
@@ -186,19 +188,19 @@
         )
 
     def memory_tokens(self, engine: str) -> int:
-        """Return the memory promised at ``engine`` by all routers."""
+        """Return the memory reserved at ``engine`` by all routers."""
         return self.load(engine).memory_tokens
 
     def streams(self, engine: str) -> int:
-        """Return the streams at ``engine``."""
+        """Return the number of streams at ``engine``."""
         return self.load(engine).streams
 
     def prefill_backlog(self, engine: str) -> int:
-        """Return the prompt tokens that ``engine`` has yet to read."""
+        """Return the prompt tokens pending prefill at ``engine``."""
         return self.load(engine).prefill_tokens
 
     def backlog_s(self, engine: str) -> float:
-        """Return how long ``engine`` needs to read what waits there, in seconds."""
+        """Return the time ``engine`` needs to complete its prefill backlog, in seconds."""
         return self.prefill_backlog(engine) / self.pace.read_rate(engine)
 
     def _new_key(self) -> int:
@@ -207,7 +209,7 @@
 
 
 def _remove(table: dict[str, dict[int, Demand]], engine: str, key: int) -> None:
-    """Take one demand out, and the engine's row with its last one."""
+    """Remove a demand, and the engine's row if it becomes empty."""
     row = table[engine]
     del row[key]
     if not row:
--- a/src/yokedock/request/placement_queue.py
+++ b/src/yokedock/request/placement_queue.py
@@ -25,8 +25,8 @@
 from yokedock.request.generation_queue import GenerationQueue
 from yokedock.request.mechanisms import ALL_ON, Mechanisms
 from yokedock.request.room_forecast import RETRY_AFTER_SPREAD, QueueAhead, RoomForecast
+from yokedock.request.room_order import TurnOrder
 from yokedock.request.routed_call import RoutedCall
-from yokedock.request.turn_order import TurnOrder
 from yokedock.request.wait_estimator import RecentArrivals, WaitEstimator
 from yokedock.request.waiter import Turn, Waiter
 
--- a/src/yokedock/request/prompt_homes.py
+++ b/src/yokedock/request/prompt_homes.py
@@ -1,6 +1,6 @@
-"""Homes of prompts: the engine of each role to which all routers send prompts that share a part.
+"""Prompt affinity: all routers send prompts that share a part to the same engine of each role.
 
-A prompt whose parts an engine keeps in its prefix cache need not be read again.
+An engine that holds the parts of a prompt in its prefix cache does not have to prefill them again.
 """
 
 from __future__ import annotations
@@ -13,24 +13,25 @@
 
 
 class MemberRing(msgspec.Struct, frozen=True):
-    """A ring and the list of backends that it was made of."""
+    """A hash ring and the list of backends that it was built from."""
 
     members: list[Backend]
     ring: HashRing
 
 
 class PromptHomes:
-    """Homes by service and role."""
+    """The home engines of prompts, by service and role."""
 
     def __init__(self, registry: BackendRegistry) -> None:
-        """Follow the backends of ``registry``."""
+        """``registry`` supplies the backends."""
         self._registry = registry
         self._rings: dict[tuple[str, str], MemberRing] = {}
 
     def home_of(self, key: str, service: str, role: str) -> str | None:
-        """Return the backend that is the home of a key: the same one at every router.
+        """Return the home backend of a key, which is the same at every router.
 
-        It is the next one in the order of the key while the first one is not sound.
+        If the first backend in the key's ring order is unhealthy, the next healthy one takes its
+        place.
         """
         members = self._registry.members(service, role)
         known = self._rings.get((service, role))
--- a/src/yokedock/request/prompt_reads.py
+++ b/src/yokedock/request/prompt_reads.py
@@ -1,4 +1,4 @@
-"""Tells in the logs which prompts were read for nothing, and why."""
+"""Logs prefills whose result was not used, with the reason."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
 
 
 class PromptReads(msgspec.Struct, eq=False):
-    """The readings of one request's prompt; only the last of them can have been of use."""
+    """Tracks the prefills of one request's prompt; only the latest can have been of use."""
 
     request: str
     engine: str = ""
-    """Where it was read last, empty if nowhere."""
+    """The engine of the latest prefill, empty if there was none."""
     tokens: int = 0
     loss: str = "no answer followed"
-    """Why the last reading would be lost, as far as it is known."""
+    """The reason to log if the latest prefill is wasted, as far as known."""
     begun_s: float = 0.0
     read_s: float = 0.0
 
     def begin(self, engine: str, tokens: int) -> None:
-        """Note that ``engine`` is asked to read ``tokens``; what was read before is lost."""
+        """Record the start of a prefill of ``tokens`` on ``engine``; a previous one is wasted."""
         self.end(is_whole=False)
         self.engine, self.tokens = engine, tokens
         self.begun_s, self.read_s = boot_time_s(), 0.0
         self.loss = "no answer followed"
 
     def read(self) -> None:
-        """Note that the engine has read the prompt: it has said so, or its answer has begun."""
+        """Record that the prefill completed: the engine reported it or started to answer."""
         self.read_s = self.read_s or boot_time_s()
 
     def lost(self, stage: str, reason: str) -> None:
-        """Note what went wrong with the attempt that uses the last reading."""
+        """Record the failure of the attempt that uses the latest prefill."""
         self.loss = f"{stage}: {reason}"
 
     def end(self, is_whole: bool) -> None:
-        """Log the last reading unless the answer made from it came out whole."""
+        """Log the latest prefill as wasted unless its answer was completed."""
         if self.engine and not is_whole:
             _log.info(
                 "read for nothing",
--- a/src/yokedock/request/remote_promises.py
+++ b/src/yokedock/request/remote_promises.py
@@ -1,9 +1,9 @@
-"""What other routers have promised at each engine: sums that are kept by difference.
+"""Reservations of other routers per engine, with incrementally maintained totals.
 
-A router tells of all its engines at once, many times a second, while sums are read far more often:
-for every engine that a placement looks at. Keeping them costs as much as the engines that one
-datagram names, whatever the number of routers: with 68 routers and 60 engines a sum takes 0.2 us
-instead of 17 us (`yokedock-emulator decision-cost`).
+A router reports all its engines at once, many times a second, but totals are read far more often:
+for every engine considered for a placement. An update costs time proportional to the engines named
+in a datagram, independent of the number of routers. With 68 routers and 60 engines, reading a total
+takes 0.2 us instead of 17 us (`yokedock-emulator decision-cost`).
 """
 
 from __future__ import annotations
@@ -16,58 +16,58 @@
 from yokedock.connection.router_state import EngineShare
 
 LIFETIME_S = 2.0
-"""What a router that fell silent had promised is dropped after this time."""
+"""The reservations of a silent router expire after this time."""
 
 
 class EngineTotals(msgspec.Struct):
-    """What several routers have at one engine."""
+    """The load of several routers at one engine."""
 
     memory_tokens: int = 0
     streams: int = 0
     prefill_tokens: int = 0
 
     def add(self, share: EngineShare) -> None:
-        """Count a router's share."""
+        """Add a router's share."""
         self.memory_tokens += share.memory_tokens
         self.streams += share.streams
         self.prefill_tokens += share.prefill_tokens
 
     def subtract(self, share: EngineShare) -> None:
-        """Count a router's share no more."""
+        """Subtract a router's share."""
         self.memory_tokens -= share.memory_tokens
         self.streams -= share.streams
         self.prefill_tokens -= share.prefill_tokens
 
 
 NO_TOTALS = EngineTotals()
-"""The sums at an engine of which nobody told anything; it is never changed."""
+"""Totals of an engine without reports; never modified."""
 EMPTY_SHARE = EngineShare()
 
 
 class ReportedShares(msgspec.Struct, frozen=True):
-    """What one router told last, and when (boot time, s), as far as that is known."""
+    """The last report of a router and the time at which it was made (boot time, s), if known."""
 
     heard_s: float
     shares: dict[str, EngineShare]
 
 
 class RemotePromises:
-    """Shares of other routers, and their sums by engine."""
+    """The shares of other routers and their totals by engine."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start with nothing heard."""
+        """Start with no reports."""
         self._clock = clock
         self._heard: dict[str, ReportedShares] = {}
         self._totals: dict[str, EngineTotals] = {}
         self._next_expiry_s = math.inf
-        """No share lapses before this time."""
+        """No share expires before this time."""
 
     def heard(
         self, router: str, shares: dict[str, EngineShare], told_s: float | None = None
     ) -> bool:
-        """Take over what a router told, just now or at ``told_s`` (boot time).
+        """Store a router's report, made now or at ``told_s`` (boot time).
 
-        Returns whether room came free at any engine.
+        Returns whether it frees capacity at any engine.
         """
         before = self._heard.pop(router, None)
         told_s = self._clock() if told_s is None else told_s
@@ -84,7 +84,7 @@
         )
 
     def forget(self, router: str) -> bool:
-        """Drop what a router had promised; return whether it was known."""
+        """Remove a router's reservations; return whether there were any."""
         before = self._heard.pop(router, None)
         if before is None:
             return False
@@ -92,7 +92,7 @@
         return True
 
     def drop_lapsed(self) -> bool:
-        """Drop what was told too long ago; return whether anything was."""
+        """Remove expired reports; return whether there were any."""
         now_s = self._clock()
         if now_s <= self._next_expiry_s:
             return False
@@ -105,16 +105,16 @@
         return bool(lapsed)
 
     def totals(self, engine: str) -> EngineTotals:
-        """Return the sums at an engine; they are not to be changed."""
+        """Return the totals of an engine; callers must not modify them."""
         self.drop_lapsed()
         return self._totals.get(engine, NO_TOTALS)
 
     def size(self) -> int:
-        """Return how many shares and sums are kept."""
+        """Return the number of stored shares and totals."""
         return len(self._totals) + sum(len(heard.shares) for heard in self._heard.values())
 
     def oldest_age_s(self) -> float:
-        """Return how long ago the oldest shares that are kept were told, 0 if none are."""
+        """Return the age of the oldest stored report with shares, 0 if there is none."""
         told = [heard.heard_s for heard in self._heard.values() if heard.shares]
         return self._clock() - min(told) if told else 0.0
 
