--- a/src/yokedock/request/queues_elsewhere.py
+++ b/src/yokedock/request/queues_elsewhere.py
@@ -32,13 +32,13 @@
         self.turns: dict[str, Turn] = {}
         self.in_time = 0
 
-    def put(self, router: str, told: ReportedQueue) -> None:
+    def put(self, router: str, report: ReportedQueue) -> None:
         """Store a router's report, replacing its previous one."""
         self.drop(router)
-        self.by_router[router] = told
-        self.in_time += told.share.in_time
-        if told.turn is not None:
-            self.turns[router] = told.turn
+        self.by_router[router] = report
+        self.in_time += report.share.in_time
+        if report.turn is not None:
+            self.turns[router] = report.turn
 
     def drop(self, router: str) -> None:
         """Remove a router's report."""
@@ -87,7 +87,7 @@
         known = self._services.get(service)
         if known is None:
             return EMPTY_SHARE
-        arrivals_per_s = sum(told.share.arrivals_per_s for told in known.by_router.values())
+        arrivals_per_s = sum(report.share.arrivals_per_s for report in known.by_router.values())
         return QueueShare(known.in_time, arrivals_per_s)
 
     def in_time(self, service: str) -> int:
--- a/src/yokedock/request/remote_promises.py
+++ b/src/yokedock/request/remote_promises.py
@@ -97,12 +97,12 @@
         if now_s <= self._next_expiry_s:
             return False
         oldest_s = now_s - LIFETIME_S
-        lapsed = [router for router, heard in self._heard.items() if heard.heard_s < oldest_s]
-        for router in lapsed:
+        expired = [router for router, report in self._heard.items() if report.heard_s < oldest_s]
+        for router in expired:
             self.forget(router)
-        told = (heard.heard_s + LIFETIME_S for heard in self._heard.values())
-        self._next_expiry_s = min(told, default=math.inf)
-        return bool(lapsed)
+        expiry_times_s = (report.heard_s + LIFETIME_S for report in self._heard.values())
+        self._next_expiry_s = min(expiry_times_s, default=math.inf)
+        return bool(expired)
 
     def totals(self, engine: str) -> EngineTotals:
         """Return the totals of an engine; callers must not modify them."""
@@ -111,12 +111,12 @@
 
     def size(self) -> int:
         """Return the number of stored shares and totals."""
-        return len(self._totals) + sum(len(heard.shares) for heard in self._heard.values())
+        return len(self._totals) + sum(len(report.shares) for report in self._heard.values())
 
     def oldest_age_s(self) -> float:
         """Return the age of the oldest stored report with shares, 0 if there is none."""
-        told = [heard.heard_s for heard in self._heard.values() if heard.shares]
-        return self._clock() - min(told) if told else 0.0
+        report_times_s = [report.heard_s for report in self._heard.values() if report.shares]
+        return self._clock() - min(report_times_s) if report_times_s else 0.0
 
     def _subtract(self, shares: dict[str, EngineShare]) -> None:
         for engine, share in shares.items():
