--- a/src/yokedock/request/__init__.py
+++ b/src/yokedock/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request."""
+"""Request handling: admission, backend selection, attempts, retries and responses."""
--- a/src/yokedock/request/admission.py
+++ b/src/yokedock/request/admission.py
@@ -1,4 +1,4 @@
-"""Who may start a request now: limits of the gateway, of each class and of each tenant."""
+"""Admission control: in-flight limits of the gateway, of each class and of each tenant."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Admission:
-    """Counts requests in flight. Safe for use by several threads."""
+    """Counts requests in flight and enforces the limits. Thread-safe."""
 
     def __init__(self, max_in_flight: int) -> None:
-        """Set the limit of the whole gateway."""
+        """``max_in_flight`` is the limit of the whole gateway."""
         self._max_in_flight = max_in_flight
         self._lock = threading.Lock()
         self._total = 0
@@ -32,12 +32,12 @@
         return self._total
 
     def close(self) -> None:
-        """Admit nothing more: the gateway is stopping."""
+        """Reject all further requests, since the gateway is stopping."""
         self._is_closed = True
 
     @contextmanager
     def admitted(self, caller: CallerIdentity, bundle: Bundle) -> Iterator[None]:
-        """Hold a place for one request; raises a typed refusal at once when there is none."""
+        """Count one request as in flight; raises ``Refused`` at once if a limit is reached."""
         self._enter(caller, bundle)
         try:
             yield
@@ -49,14 +49,19 @@
         class_limit = caller.request_class.max_in_flight
         with self._lock:
             if self._is_closed:
-                raise NotReady("this gateway is stopping; send the request again", RETRY_AFTER_S)
+                raise NotReady("this gateway is stopping; retry the request", RETRY_AFTER_S)
             if self._total >= self._max_in_flight:
-                raise GatewayFull("this gateway is full; retry later", RETRY_AFTER_S)
+                raise GatewayFull(
+                    "this gateway has reached its limit of requests in flight; retry later",
+                    RETRY_AFTER_S,
+                )
             if self._by_tenant[caller.tenant] >= tenant_limit:
-                message = f"{tenant_limit} requests of this tenant are in flight; retry later"
+                message = (
+                    f"the tenant has {tenant_limit} requests in flight, its limit; retry later"
+                )
                 raise TenantLimitReached(message, RETRY_AFTER_S)
             if self._by_class[caller.class_name] >= class_limit:
-                message = f"{class_limit} requests of this class are in flight; retry later"
+                message = f"the class has {class_limit} requests in flight, its limit; retry later"
                 raise ClassLimitReached(message, RETRY_AFTER_S)
             self._total += 1
             self._by_tenant[caller.tenant] += 1
@@ -70,21 +75,24 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of requests, so that a fault does not multiply the load."""
+    """Token bucket for retries.
+
+    Limits retries to a share of the requests, so that a fault does not multiply the load.
+    """
 
     def __init__(self, reserve: float = 10.0) -> None:
-        """Start with ``reserve`` retries, which is also the most that can be saved up."""
+        """Start with ``reserve`` retries, which is also the capacity of the bucket."""
         self._most = reserve
         self._left = reserve
         self._lock = threading.Lock()
 
-    def request_arrived(self, share: float) -> None:
-        """Earn a share of a retry."""
+    def add_request(self, share: float) -> None:
+        """Add the share of a retry that one request earns."""
         with self._lock:
             self._left = min(self._most, self._left + share)
 
     def take(self) -> bool:
-        """Spend one retry; return whether there was one."""
+        """Take one retry; return whether one was available."""
         with self._lock:
             if self._left < 1:
                 return False
--- a/src/yokedock/request/call_attempt.py
+++ b/src/yokedock/request/call_attempt.py
@@ -1,6 +1,6 @@
-"""A single attempt of a call: sends it to a backend and reads the whole answer.
+"""A single attempt of a call: sends it to a backend and reads the complete response.
 
-While time is left, a slow attempt is abandoned only after another backend has been reserved.
+Before the deadline, a slow attempt is abandoned only after another backend has been reserved.
 """
 
 from __future__ import annotations
@@ -20,24 +20,24 @@
 _log = logger("call")
 
 LEAST_USEFUL_S = 0.03
-"""A second attempt with less time left cannot finish."""
+"""A retry is not started with less time left than this, since it could not finish."""
 
 
 class ChosenBackend(msgspec.Struct, frozen=True):
-    """Where a call goes next."""
+    """The backend for the next attempt of a call."""
 
     backend: Backend
     has_permit: bool
-    """A permit of a limited backend was taken for it."""
+    """Whether a rate-limit permit of the backend has been taken for the attempt."""
 
 
 class CallAttempts(msgspec.Struct):
     """Backends tried by one call, and the backend reserved for its next attempt."""
 
     tried: set[str] = msgspec.field(default_factory=set)
-    """Names of the backends."""
+    """Names of the backends tried so far."""
     reserved: ChosenBackend | None = None
-    """It accepted a connection before the current attempt was given up."""
+    """Backend that accepted a connection before the current attempt was abandoned."""
 
     def take_reserved(self) -> ChosenBackend | None:
         """Return the reserved backend, if any, and clear the reservation."""
@@ -46,12 +46,12 @@
 
 
 class AttemptRunner:
-    """Sends single attempts of calls to backends and reads the answers."""
+    """Sends single attempts of calls to backends and reads the responses."""
 
     def __init__(
         self, registry: BackendRegistry, exchanges: BackendExchanges, allowance: RetryAllowance
     ) -> None:
-        """Share the process's backends, connections and retry budget."""
+        """Use the backends, connections and retry budget that the whole process shares."""
         self._registry = registry
         self._exchanges = exchanges
         self._allowance = allowance
@@ -63,7 +63,7 @@
         attempts: CallAttempts,
         retries: RequestRetries,
     ) -> WholeAnswer:
-        """Send the call to the chosen backend once and return the whole answer."""
+        """Send the call to the chosen backend once and return the complete response."""
         backend = chosen.backend
         async with self._exchanges.open(backend, call, chosen.has_permit) as exchange:
             if call.arrivals:
@@ -82,12 +82,13 @@
         attempts: CallAttempts,
         retries: RequestRetries,
     ) -> WholeAnswer:
-        """Read the answer; a backend that is silent for longer than patience allows is avoided.
+        """Read the response, and abandon the attempt on a time-out if a retry has been reserved.
 
-        It is waited for on where nobody else can be asked.
+        If no other backend is available, waits for this one until the deadline. A backend that
+        exceeds the registry's response time-out is avoided by later calls.
         """
         backend = exchange.backend
-        patience_s = self._patience_s(call, backend)
+        patience_s = self._idle_timeout_s(call, backend)
         exchange.suspect_after(self._registry.patience_s(backend))
         while True:
             try:
@@ -100,18 +101,19 @@
                 reserved = attempts.reserved
                 if reserved is not None and self._is_available(call, reserved.backend):
                     raise
-                # The repeat is paid for before this one is given up: others may spend the budget.
+                # Charge the retry before abandoning this attempt: others may use up the budget.
                 other = await self._find_reachable_backend(call, backend, attempts)
                 attempts.reserved = None
                 if other is not None and retries.may_go_on(call, LEAST_USEFUL_S):
                     attempts.reserved = ChosenBackend(other, other.limit.take(boot_time_s()))
-                # What came while another was reached is read first.
+                # Read what arrived while the other backend was being connected to.
                 patience_s = call.left_s() if attempts.reserved is None else 0.0
 
     def _is_available(self, call: RoutedCall, backend: Backend) -> bool:
         """Return whether the call can still be sent to a reserved backend.
 
-        It may have ended, become unwilling or run out of connections since it was reserved.
+        Since the reservation, the backend may have ended, started to pause or drain, or run out of
+        connections.
         """
         share = self._registry.connection_share(call.service.name)
         if backend.has_ended or backend.outstanding >= share:
@@ -127,11 +129,12 @@
     ) -> Backend | None:
         """Return another backend that may take the call now and accepts a connection, if any.
 
-        Work that goes on is given up only for somebody who is there: the list may still name a
-        backend that has ended. The connection rests, and the repeat goes out on it.
+        The backend list may still name a backend that has ended, so a running attempt is abandoned
+        only after a connection to another one was opened. The connection stays idle in the pool,
+        and the retry uses it.
         """
         refused = {backend.name}
-        while self._may_ask_another(call, backend):
+        while self._can_retry_elsewhere(call, backend):
             service, untried = call.service.name, frozenset(refused | attempts.tried)
             other = self._registry.cheapest(service, untried)
             other = other or self._registry.cheapest(service, frozenset(refused))
@@ -143,19 +146,21 @@
                     if other.may_take(boot_time_s()):
                         return other
             except BackendUnreachable as error:
-                _log.info("nobody to repeat at", request=call.request_id, reason=error.message)
+                _log.info(
+                    "retry backend unreachable", request=call.request_id, reason=error.message
+                )
         return None
 
-    def _may_ask_another(self, call: RoutedCall, backend: Backend) -> bool:
-        """Return whether another backend could take the call now: not where all others rest."""
+    def _can_retry_elsewhere(self, call: RoutedCall, backend: Backend) -> bool:
+        """Return whether a retry is allowed now and another backend is usable, so not paused."""
         if not call.may_run_again() or not self._allowance.has_room(call.service.name):
             return False
         usable = self._registry.usable(call.service.name)
         return any(other is not backend for other in usable)
 
-    def _patience_s(self, call: RoutedCall, backend: Backend) -> float:
-        """Return how long to wait for an answer before another attempt, or until the deadline."""
+    def _idle_timeout_s(self, call: RoutedCall, backend: Backend) -> float:
+        """Return the silence after which to retry; the time left if no retry is possible."""
         left_s = call.left_s()
-        if self._may_ask_another(call, backend):
+        if self._can_retry_elsewhere(call, backend):
             return min(left_s, self._registry.patience_s(backend))
         return left_s
--- a/src/yokedock/request/context.py
+++ b/src/yokedock/request/context.py
@@ -1,4 +1,4 @@
-"""What is known of one caller's request: one typed object that goes through all its steps."""
+"""Context of one caller's request, passed through all steps of its processing."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class CallerIdentity:
-    """Who asks, in which class."""
+    """Tenant and request class of a caller."""
 
     tenant: str
     class_name: str
@@ -25,46 +25,46 @@
 class RequestContext:
     """One request from its arrival to its final answer.
 
-    Times are seconds of boot time. ``cancel`` may be called from any thread: it ends whatever the
-    request's own thread waits for.
+    Times are seconds of boot time. ``cancel`` may be called from any thread and interrupts a
+    ``wait`` of the request's own thread.
     """
 
     def __init__(
         self, request_id: str, caller: CallerIdentity, arrived_s: float, deadline_s: float
     ) -> None:
-        """Start at arrival."""
+        """``arrived_s`` is the arrival, ``deadline_s`` when the request times out."""
         self.request_id = request_id
         self.caller = caller
         self.arrived_s = arrived_s
         self.deadline_s = deadline_s
         self.attempts = 0
         self.may_have_run = False
-        """Whether an engine may have worked for the request: "not run" must not be told then."""
+        """Whether an engine may have run the request; if so, no error may report "not run"."""
         self.ended: YokedockError | None = None
         self._lock = threading.Lock()
-        self._waiting_for: Future[Any] | None = None
+        self._pending_future: Future[Any] | None = None
 
     @property
     def priority(self) -> int:
         """Return the priority of the request's class."""
         return self.caller.request_class.priority
 
-    def next_attempt(self) -> str:
-        """Return the id of a new attempt."""
+    def new_attempt_id(self) -> str:
+        """Count a new attempt and return its id."""
         self.attempts += 1
         return f"{self.request_id}.{self.attempts}"
 
     def left_ms(self) -> int:
-        """Return the milliseconds until the deadline."""
+        """Return the time left until the deadline, in milliseconds."""
         return left_ms(self.deadline_s)
 
     def cancel(self, error: YokedockError) -> None:
-        """End the request with ``error``: only the first such error counts."""
+        """End the request with ``error``; later calls have no effect."""
         with self._lock:
             if self.ended is not None:
                 return
             self.ended = error
-            waiting = self._waiting_for
+            waiting = self._pending_future
         if waiting is not None:
             settle(waiting, error=error)
 
@@ -76,21 +76,22 @@
             raise DeadlineExceeded("the deadline passed; allow more time or retry later")
 
     def wait(self, future: Future[Any], timeout_s: float) -> Any:
-        """Return the future's result; raises its error, ``PeerTimeout``, or why the request ended.
+        """Return the result of the future.
 
-        A timeout settles the future, so a late reply goes nowhere.
+        Raises the future's error, ``PeerTimeout``, or the error that ended the request. A time-out
+        settles the future, so that a late reply is dropped.
         """
         with self._lock:
             if self.ended is not None:
                 raise self.ended
-            self._waiting_for = future
+            self._pending_future = future
         try:
             return future.result(min(timeout_s, left_s(self.deadline_s)))
         except TimeoutError:
-            settle(future, error=PeerTimeout("nobody waits for this reply any more"))
+            settle(future, error=PeerTimeout("the reply came after the time-out and was dropped"))
             self.check()
-            message = "a peer did not reply in time; look at its logs"
+            message = "a peer did not reply in time; check its logs"
             raise PeerTimeout(message, 1.0) from None
         finally:
             with self._lock:
-                self._waiting_for = None
+                self._pending_future = None
--- a/src/yokedock/request/opaque_call.py
+++ b/src/yokedock/request/opaque_call.py
@@ -1,4 +1,8 @@
-"""Calls to plain services: passed on unchanged, answered whole, repeated only where allowed."""
+"""Calls to services without model engines.
+
+The request and the buffered response are forwarded unchanged. A request is retried only where its
+route allows it.
+"""
 
 from __future__ import annotations
 
@@ -34,48 +38,54 @@
 _log = logger("call")
 
 POLL_S = 0.02
-"""A caller without any backend looks again at this interval."""
-SHORTEST_RETURN_S = 0.3
-LONGEST_RETURN_S = 3.0
-"""Bounds of the time to come back: an outage is taken to last as long again as it has lasted."""
+"""Interval at which the first waiting call looks for a usable backend again."""
+MIN_OUTAGE_RETRY_AFTER_S = 0.3
+MAX_OUTAGE_RETRY_AFTER_S = 3.0
+"""Bounds of the retry-after time during an outage.
+
+An outage is expected to last as long again as it has lasted so far.
+"""
 FORGOTTEN_S = 10.0
-"""An outage that no call has met for so long is over or of no interest."""
-RETURN_SPREAD = 1.5
-"""Callers come back after one to so many times that, evenly spread."""
+"""An outage is forgotten when no call has run into it for this long."""
+RETRY_AFTER_JITTER = 1.5
+"""Retry-after times are spread evenly between one and this many times the expected wait."""
 
 
 class Outage(msgspec.Struct):
-    """A time in which no backend of a service was found (boot time, s)."""
+    """A period in which a service had no usable backend (boot time, s)."""
 
     since_s: float
     last_s: float = 0.0
-    """When a call met it last."""
+    """When a call last found no backend."""
 
 
 class OpaqueCalls:
-    """Serves calls to services without model engines."""
+    """Serves calls to services without model engines, with retries and a queue per service."""
 
     def __init__(
         self, registry: BackendRegistry, exchanges: BackendExchanges, allowance: RetryAllowance
     ) -> None:
-        """Share the process's backends, connections and retry budget."""
+        """Use the backends, connections and retry budget that the whole process shares."""
         self._registry = registry
         self._allowance = allowance
         self._attempt_runner = AttemptRunner(registry, exchanges, allowance)
         self._queues: dict[str, CallQueue] = {}
-        """By service, the calls for which no backend may be used now."""
+        """By service, the calls that wait for a usable backend."""
         self._outages: dict[str, Outage] = {}
-        """By service, those in which no backend was found for a call."""
+        """By service, the current outage."""
         self._random = new_random()
 
     async def serve(self, call: RoutedCall) -> None:
-        """Answer the call: with a backend's answer, or with the error that says what is known."""
+        """Send the caller a backend's response.
+
+        Raises a typed error that says whether the request may have run.
+        """
         with self._allowance.request(call.service.name, call.request_id) as retries:
             answer = await self._serve(call, retries)
         await call.answer.whole(answer.head, answer.body)
 
     async def _serve(self, call: RoutedCall, retries: RequestRetries) -> WholeAnswer:
-        """Return a backend's answer."""
+        """Try backends until one responds; return a server error only if no retry is allowed."""
         attempts = CallAttempts()
         kept: WholeAnswer | None = None
         while True:
@@ -97,10 +107,10 @@
             except (BackendRefused, BackendBroken, NoBackend) as error:
                 is_last = isinstance(error, NoBackend) or (
                     isinstance(error, BackendRefused)
-                    and not self._has_untried(call, attempts.tried)
+                    and not self._has_untried_backend(call, attempts.tried)
                 )
-                # A reserved repeat is already paid for. Checking the budget again would refuse it
-                # if this router's share has shrunk since.
+                # A reserved retry has been charged to the budget already. Checking the budget again
+                # would deny it if this router's share has shrunk since.
                 is_reserved = attempts.reserved is not None and call.left_s() >= LEAST_USEFUL_S
                 if is_last or not (is_reserved or retries.may_go_on(call, LEAST_USEFUL_S)):
                     if kept is not None:
@@ -116,110 +126,126 @@
             _log.info("retry", request=call.request_id, reason=f"status {answer.head.status}")
 
     async def _next_backend(self, call: RoutedCall, tried: frozenset[str]) -> ChosenBackend:
-        """Return the backend to try next; waits for one while an answer could be in time.
+        """Return the backend to try next, waiting for one while the target can still be met.
 
-        Whoever comes while others wait goes behind those with less time left.
+        While other calls wait, the call queues behind those with an earlier target time.
         """
         name = call.service.name
         if name not in self._queues and (chosen := self._choose(name, tried)) is not None:
             return chosen
         queue = self._queues.setdefault(name, CallQueue(lambda q: self._note_waiting(name, q)))
         with queue.place(call.target_s, boot_time_s() + call.left_s()) as place:
-            self._refuse_hopeless(name, [(queue.before(place), place)])
+            self._reject_late_calls(name, [(queue.before(place), place)])
             while True:
                 is_first = queue.is_first(place)
                 if is_first and (chosen := self._choose(name, tried)) is not None:
                     return chosen
                 if is_first:
-                    self._refuse_hopeless(name, enumerate(queue.in_order()))
+                    self._reject_late_calls(name, enumerate(queue.in_order()))
                 if place.refusal is not None:
                     raise place.refusal
                 await place.sleep(POLL_S if is_first else None)
 
-    def _refuse_hopeless(self, service: str, places: Iterable[tuple[int, WaitingCall]]) -> None:
-        """Refuse each call that should not wait on; the forecast is looked at once for all.
+    def _reject_late_calls(self, service: str, places: Iterable[tuple[int, WaitingCall]]) -> None:
+        """Reject each call that should not keep waiting.
 
-        ``places`` are calls and how many go before each here.
+        The wait forecast is computed once for all calls. ``places`` holds pairs of the number of
+        calls ahead in this router's queue, and the call.
         """
         supply = self._registry.supply(service)
         elsewhere = self._registry.waiting_elsewhere(service)
         typical_s = self._registry.typical_latency_s(service)
         for before, place in places:
             wait_s = supply.wait_s(before + place.ahead_elsewhere(elsewhere))
-            if not _is_worth_waiting(place, wait_s, typical_s, supply):
-                reason = f"take nothing for {wait_s:.1f} s" if wait_s else "are gone"
+            if not _should_keep_waiting(place, wait_s, typical_s, supply):
+                reason = f"accept no request for {wait_s:.1f} s" if wait_s else "are unavailable"
                 place.refuse(NoBackend(f"all backends of {service} {reason}; retry later"))
 
     def _choose(self, service: str, tried: frozenset[str]) -> ChosenBackend | None:
-        """Return the cheapest backend, an untried one if there is any; take its permit."""
+        """Return the cheapest backend, preferring untried ones, and take its rate-limit permit."""
         backend = self._registry.cheapest(service, tried) or self._registry.cheapest(service)
         if backend is None:
             return None
         return ChosenBackend(backend, backend.limit.take(boot_time_s()))
 
     def _note_waiting(self, service: str, queue: CallQueue) -> None:
-        """Tell how many wait, for the order in which routers take the permits of a backend."""
+        """Publish the number of waiting calls and the start of the wait.
+
+        The routers take a backend's permits in an order that depends on them.
+        """
         since_s = queue.since_s() if len(queue) else math.inf
         self._registry.note_waiting(service, len(queue), since_s)
         if not len(queue):
             self._queues.pop(service, None)
 
-    def _could_be_in_time(self, call: RoutedCall, wait_s: float = 0.0) -> bool:
-        """Return whether an attempt that begins in ``wait_s`` could still meet the target."""
+    def _can_meet_target(self, call: RoutedCall, wait_s: float = 0.0) -> bool:
+        """Return whether an attempt that starts in ``wait_s`` is expected to meet the target."""
         expected_s = self._registry.typical_latency_s(call.service.name)
         return boot_time_s() + wait_s + expected_s < call.target_s
 
     async def _may_reconnect(self, call: RoutedCall, tried: set[str]) -> bool:
-        """Return whether to go on after a backend could not be reached.
+        """Return whether to try again after a backend could not be reached.
 
-        Once all were tried, wait a moment between rounds, while an answer could be in time.
+        Once all backends were tried, pauses between rounds and goes on while the target can still
+        be met.
         """
-        if self._has_untried(call, tried):
+        if self._has_untried_backend(call, tried):
             return True
         await asyncio.sleep(POLL_S)
-        return self._could_be_in_time(call)
+        return self._can_meet_target(call)
 
-    def _has_untried(self, call: RoutedCall, tried: set[str]) -> bool:
-        """Return whether a backend is left that was not asked: another request costs budget."""
+    def _has_untried_backend(self, call: RoutedCall, tried: set[str]) -> bool:
+        """Return whether a usable backend is untried.
+
+        Another request to a backend that was tried would cost retry budget.
+        """
         usable = self._registry.usable(call.service.name)
         return any(backend.name not in tried for backend in usable)
 
     def _return_after_s(self, service: str) -> float:
-        """Return when a caller for whom no backend was found should come back.
+        """Return the retry-after time for a caller that got no backend.
 
-        Rests and limits are known; an outage is only guessed at.
+        It follows from the backends' announced pauses and rate limits where those explain the wait.
+        Otherwise it is estimated from the length of the outage so far.
         """
         waiting = len(self._queues.get(service, ())) + self._registry.waiting_elsewhere(service)
         wait_s = self._registry.supply(service).wait_s(waiting)
         if wait_s:
-            return wait_s * self._random.uniform(1.0, RETURN_SPREAD)
+            return wait_s * self._random.uniform(1.0, RETRY_AFTER_JITTER)
         now_s = boot_time_s()
         for name in [n for n, o in self._outages.items() if now_s - o.last_s > FORGOTTEN_S]:
             del self._outages[name]
         outage = self._outages.setdefault(service, Outage(now_s))
         outage.last_s = now_s
-        expected_s = min(max(now_s - outage.since_s, SHORTEST_RETURN_S), LONGEST_RETURN_S)
-        return expected_s * self._random.uniform(1.0, RETURN_SPREAD)
+        expected_s = min(
+            max(now_s - outage.since_s, MIN_OUTAGE_RETRY_AFTER_S), MAX_OUTAGE_RETRY_AFTER_S
+        )
+        return expected_s * self._random.uniform(1.0, RETRY_AFTER_JITTER)
 
     def _final(self, call: RoutedCall, error: YokedockError) -> YokedockError:
-        """Return what the caller is told: "not run" only if that is certain."""
+        """Return the error for the caller; it says "not run" only if that is certain."""
         if not call.may_have_run:
             if isinstance(error, RequestQuarantined):
                 return error
-            message = f"{error.message}; it was not run, retry later"
+            message = f"{error.message}; the request was not run, retry later"
             return NoBackend(message, self._return_after_s(call.service.name))
         if call.left_s() <= 0:
-            return DeadlineExceeded("no answer came in time, and it may have run; look it up")
-        return BackendAnswerLost("the answer was lost and it may have run; look it up first")
+            return DeadlineExceeded(
+                "no response before the deadline and the request may have run; check its result"
+            )
+        return BackendAnswerLost(
+            "the response was lost and the request may have run; check its result before a retry"
+        )
 
 
-def _is_worth_waiting(
+def _should_keep_waiting(
     place: WaitingCall, wait_s: float, typical_s: float, supply: ServiceSupply
 ) -> bool:
-    """Return whether a call should go on waiting for a backend.
+    """Return whether a call should keep waiting for a backend.
 
-    It should come in time; but one that has its place among those that wait for permits stays:
-    answered a little late it is better off than refused after a wait.
+    It should if it is expected to meet its target. Where calls wait in order for
+    permits or connections, a call that the other routers know of may wait until its deadline: a
+    slightly late response serves the caller better than a rejection after a wait.
     """
     now_s = boot_time_s()
     if place.is_settled and supply.moves_in_order:
--- a/src/yokedock/request/openai_format.py
+++ b/src/yokedock/request/openai_format.py
@@ -1,4 +1,4 @@
-"""The callers' format: OpenAI chat completions and completions, streamed and whole."""
+"""OpenAI-compatible API for callers: chat completions and completions, streamed or not."""
 
 from __future__ import annotations
 
@@ -16,32 +16,32 @@
 ADAPTER_SEPARATOR = ":"
 STREAM_END = b"data: [DONE]\n\n"
 REQUEST_ID_HEADER = "X-Request-Id"
-MOST_STOPS = 4
-"""Stop sequences that one request may name, as in the OpenAI interface."""
+MAX_STOP_SEQUENCES = 4
+"""Limit of stop sequences in one request, as in the OpenAI API."""
 
 
 class ContentPart(msgspec.Struct, frozen=True):
-    """One part of a message's content; only text is taken."""
+    """One part of a message's content; only text is supported."""
 
     type: str
     text: str = ""
 
 
 class ChatMessage(msgspec.Struct, frozen=True):
-    """One message of a chat."""
+    """One message of a chat request."""
 
     role: str
     content: str | list[ContentPart] | None = None
 
 
 class StreamOptions(msgspec.Struct, frozen=True):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     include_usage: bool = False
 
 
 class GenerationRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """The fields that both kinds of completion share; unknown fields are ignored."""
+    """Fields common to chat completions and completions; unknown fields are ignored."""
 
     model: str
     stream: bool = False
@@ -57,52 +57,52 @@
     stream_options: StreamOptions | None = None
 
     def token_limit(self) -> int:
-        """Return the most tokens to generate."""
+        """Return the maximum number of tokens to generate."""
         return self.max_completion_tokens or self.max_tokens or DEFAULT_MAX_TOKENS
 
     def check(self) -> None:
-        """Raise ``BadRequest`` on values that cannot be served."""
+        """Raise ``BadRequest`` on unsupported or invalid values."""
         if self.n not in (None, 1):
-            raise BadRequest("n must be 1; send one request for each answer")
+            raise BadRequest("n must be 1; send one request for each completion")
         for limit in (self.max_tokens, self.max_completion_tokens):
             if limit is not None and limit < 1:
-                raise BadRequest("max_tokens must be at least 1; leave it out for the default")
+                raise BadRequest("max_tokens must be at least 1; omit it for the default")
         _check_range("temperature", self.temperature, 0, 2)
         _check_range("top_p", self.top_p, 0, 1)
         _check_range("presence_penalty", self.presence_penalty, -2, 2)
         _check_range("frequency_penalty", self.frequency_penalty, -2, 2)
-        stops = self._stops()
-        if len(stops) > MOST_STOPS or not all(stops):
-            raise BadRequest(f"stop must be 1 to {MOST_STOPS} texts, none of them empty")
+        stops = self._stop_sequences()
+        if len(stops) > MAX_STOP_SEQUENCES or not all(stops):
+            raise BadRequest(f"stop must be 1 to {MAX_STOP_SEQUENCES} non-empty strings")
 
     def sampling(self) -> Sampling:
-        """Return how tokens are to be chosen, for the engine."""
+        """Return the sampling parameters for the engine."""
         return Sampling(
             self.temperature,
             self.top_p,
             self.seed,
             self.presence_penalty,
             self.frequency_penalty,
-            self._stops(),
+            self._stop_sequences(),
         )
 
-    def _stops(self) -> tuple[str, ...]:
+    def _stop_sequences(self) -> tuple[str, ...]:
         if self.stop is None:
             return ()
         return (self.stop,) if isinstance(self.stop, str) else tuple(self.stop)
 
     def wants_usage(self) -> bool:
-        """Return whether a streamed answer ends with its usage."""
+        """Return whether a streamed response ends with the token usage."""
         return self.stream_options is not None and self.stream_options.include_usage
 
 
 class ChatRequest(GenerationRequest, frozen=True, kw_only=True):
-    """``POST /v1/chat/completions``."""
+    """Body of ``POST /v1/chat/completions``."""
 
     messages: list[ChatMessage]
 
     def prompt(self) -> str:
-        """Return the chat as one text in a plain template."""
+        """Return the messages as one prompt, rendered with a simple chat template."""
         if not self.messages:
             raise BadRequest("messages is empty; send at least one message")
         lines = [f"<|{message.role}|>\n{_content_text(message)}\n" for message in self.messages]
@@ -110,13 +110,13 @@
 
 
 class CompletionRequest(GenerationRequest, frozen=True, kw_only=True):
-    """``POST /v1/completions``."""
+    """Body of ``POST /v1/completions``."""
 
     prompt: str
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Token counts of an answer."""
+    """Token counts of a response."""
 
     prompt_tokens: int
     completion_tokens: int
@@ -124,7 +124,7 @@
 
 
 class ModelEntry(msgspec.Struct, frozen=True):
-    """One line of ``GET /v1/models``."""
+    """One model in the response to ``GET /v1/models``."""
 
     id: str
     object: str = "model"
@@ -133,22 +133,22 @@
 
 
 class ModelListing(msgspec.Struct, frozen=True):
-    """``GET /v1/models``."""
+    """Body of the response to ``GET /v1/models``."""
 
     data: tuple[ModelEntry, ...]
     object: str = "list"
 
 
 def split_adapter(model: str) -> tuple[str, str]:
-    """Split ``model:adapter``, the form in which callers name an adapter."""
+    """Split ``model:adapter`` into model and adapter; the adapter is empty if none is named."""
     name, _, adapter = model.partition(ADAPTER_SEPARATOR)
     return name, adapter
 
 
 def _check_range(name: str, value: float | None, lowest: float, highest: float) -> None:
-    """Raise ``BadRequest`` when a given number lies outside."""
+    """Raise ``BadRequest`` if a value is given and out of range."""
     if value is not None and not lowest <= value <= highest:
-        raise BadRequest(f"{name} must be from {lowest} to {highest}; leave it out for the default")
+        raise BadRequest(f"{name} must be from {lowest} to {highest}; omit it for the default")
 
 
 def _content_text(message: ChatMessage) -> str:
@@ -158,15 +158,15 @@
         return message.content
     for part in message.content:
         if part.type != "text":
-            raise BadRequest(f"content of type {part.type} is not taken; send text")
+            raise BadRequest(f"content of type {part.type} is not supported; send text")
     return "".join(part.text for part in message.content)
 
 
 class AnswerFormat:
-    """Builds the documents of one answer; chat and plain completions differ in a few fields."""
+    """Builds the JSON objects of one response, for chat completions or completions."""
 
     def __init__(self, request_id: str, model: str, is_chat: bool) -> None:
-        """Fix what is the same in every document of the answer."""
+        """Encode the part that is the same in every event of a streamed response."""
         self._is_chat = is_chat
         self._id = f"{'chatcmpl' if is_chat else 'cmpl'}-{request_id}"
         self._model = model
@@ -185,7 +185,7 @@
         )
 
     def opening(self) -> bytes:
-        """Return the event that opens a chat stream with the role."""
+        """Return the first event of a chat stream, which carries the role; else nothing."""
         if not self._is_chat:
             return b""
         document = self._head(streamed=True)
@@ -194,14 +194,14 @@
         return b"data: " + msgspec.json.encode(document) + b"\n\n"
 
     def usage_event(self, usage: Usage) -> bytes:
-        """Return the event that closes a stream with its usage."""
+        """Return the event with the token usage at the end of a stream."""
         document = self._head(streamed=True)
         document["choices"] = []
         document["usage"] = usage
         return b"data: " + msgspec.json.encode(document) + b"\n\n"
 
     def whole(self, text: str, finish: str, usage: Usage) -> dict[str, Any]:
-        """Return the document of a whole answer."""
+        """Return the body of a response that is not streamed."""
         document = self._head(streamed=False)
         choice: dict[str, Any] = {"index": 0, "finish_reason": finish, "logprobs": None}
         if self._is_chat:
@@ -220,10 +220,10 @@
 
 
 class EventStreamWriter(AnswerWriter):
-    """Streams an answer as server-sent events through WSGI's ``write``."""
+    """Streams a response as server-sent events through the WSGI ``write`` callable."""
 
     def __init__(self, request: HttpRequest, answer_format: AnswerFormat, request_id: str) -> None:
-        """Answer ``request``; nothing is sent before the first token or the end."""
+        """Respond to ``request``; the header is sent with the first event."""
         self._request = request
         self._format = answer_format
         self._request_id = request_id
@@ -231,11 +231,11 @@
 
     @property
     def is_started(self) -> bool:
-        """Return whether a part of the answer went out."""
+        """Return whether any part of the response was sent."""
         return self._write is not None
 
     def write_tokens(self, tokens: tuple[str, ...], finish: str) -> None:
-        """Send one event with the joined tokens."""
+        """Send the tokens as one event."""
         event = self._format.chunk("".join(tokens), finish)
         if self._write is None:
             event = self._format.opening() + event
@@ -246,7 +246,7 @@
         self._send(b"data: " + msgspec.json.encode(ErrorResponse(error.body())) + b"\n\n")
 
     def write_end(self, usage: Usage | None) -> None:
-        """Close the stream."""
+        """End the stream, after an event with ``usage`` if it is given."""
         event = self._format.usage_event(usage) if usage is not None else b""
         self._send(event + STREAM_END)
 
@@ -262,10 +262,10 @@
 
 
 class WholeAnswerWriter(AnswerWriter):
-    """Gathers nothing: the answer's text is read from the stream at its end."""
+    """Writes nothing: the complete text is read from the ``AnswerStream`` at its end."""
 
     def write_tokens(self, tokens: tuple[str, ...], finish: str) -> None:
-        """Wait for the end."""
+        """Do nothing, since the response is sent at the end."""
 
     def write_error(self, error: YokedockError) -> None:
-        """The error is the whole answer; the request's thread sends it."""
+        """Do nothing: the request's thread sends the error as the response."""
--- a/src/yokedock/request/releaser.py
+++ b/src/yokedock/request/releaser.py
@@ -1,4 +1,4 @@
-"""Cancels attempts at the engine until the engine has confirmed it."""
+"""Cancels attempts at the engine, retrying until the engine confirms."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class Releaser(threading.Thread):
-    """A thread that repeats each cancellation until it is confirmed."""
+    """Thread that retries each cancellation until the engine confirms it."""
 
     def __init__(self, engine: EngineDialect, confirmed: Callable[[str], None]) -> None:
-        """Call ``confirmed`` with each attempt that the engine no longer knows."""
+        """``confirmed`` is called with each attempt whose cancellation the engine confirmed."""
         super().__init__(name="releaser", daemon=True)
         self._engine = engine
-        self._confirmed = confirmed
+        self._on_confirmed = confirmed
         self._changed = threading.Condition()
         self._attempts: dict[str, None] = {}
         self._is_stopping = False
@@ -32,17 +32,17 @@
             self._changed.notify()
 
     def waiting(self) -> int:
-        """Return how many cancellations are not confirmed yet."""
+        """Return the number of unconfirmed cancellations."""
         return len(self._attempts)
 
     def stop(self) -> None:
-        """End the thread."""
+        """End the thread; pending cancellations are dropped."""
         with self._changed:
             self._is_stopping = True
             self._changed.notify()
 
     def run(self) -> None:
-        """Cancel whatever is submitted; pause only while the engine does not confirm."""
+        """Cancel submitted attempts; pause at most ``RETRY_S`` after a failure."""
         while True:
             with self._changed:
                 while not self._attempts and not self._is_stopping:
@@ -62,5 +62,5 @@
             return False
         with self._changed:
             self._attempts.pop(attempt, None)
-        self._confirmed(attempt)
+        self._on_confirmed(attempt)
         return True
--- a/src/yokedock/request/request_outcome.py
+++ b/src/yokedock/request/request_outcome.py
@@ -1,15 +1,15 @@
-"""The outcome of a request and its backend visits, as logged when the request ends."""
+"""Outcome of a request and its exchanges with backends, as logged when the request ends."""
 
 from __future__ import annotations
 
 import msgspec
 
 ANSWERED = "answered"
-"""Outcome of a request that got a backend's answer, whatever its status."""
+"""Outcome of a request that got a response from a backend, whatever its status."""
 
 
 class BackendVisit(msgspec.Struct):
-    """One exchange of a request with a backend, for the log: who held it, and for how long."""
+    """Log record of one exchange with a backend: which one, when and for how long."""
 
     backend: str
     zone: str
@@ -18,4 +18,4 @@
     """Time from the request's arrival at the router."""
     held_ms: int = 0
     outcome: str = "whole"
-    """``whole``, or the code of what it ended with."""
+    """``whole`` for a complete response, else an error code or another reason for the end."""
--- a/src/yokedock/request/routed_call.py
+++ b/src/yokedock/request/routed_call.py
@@ -1,4 +1,4 @@
-"""One routed request: what is known of it from its arrival to its answer."""
+"""State of one routed request, from its arrival to its response."""
 
 from __future__ import annotations
 
@@ -21,17 +21,15 @@
 MIN_DEADLINE_MS = 1
 MS_A_SECOND = 1000
 CUT_SHORT = "cut_short"
-"""Outcome of a visit that was ended from this side: the caller left or the time was over."""
+"""Outcome of an exchange that the router ended: the caller disconnected or time ran out."""
 NOT_SENT = "not_sent"
-"""Outcome of a visit that only made sure of a connection."""
-
-
-MOST_VISITS = 16
-"""Visits that are kept of one request; more than ``max_attempts`` and its prefills seldom are."""
+"""Outcome of an exchange that only opened a connection, without sending a request."""
+MAX_LOGGED_VISITS = 16
+"""Exchanges logged for one request. ``max_attempts`` and its prefills seldom need more."""
 
 
 class RoutedCall(msgspec.Struct, eq=False):
-    """A caller's request with its route. Times are seconds of boot time."""
+    """A caller's request with its route and its progress. Times are seconds of boot time."""
 
     request: CallerRequest
     answer: AnswerWriter
@@ -39,62 +37,62 @@
     route: Route
     service: ServiceSpec
     runs: int = 0
-    """Attempts that may have run, each at a backend of its own."""
+    """Attempts that may have run, each at a different backend."""
     arrivals: int = 0
-    """Requests that reached a backend, refused ones included."""
+    """Requests sent to backends, including rejected ones."""
     may_have_run: bool = False
     heard_after_s: float = 0.0
-    """Only connections on which something came later may carry it (boot time, s)."""
+    """Idle connections are reused only if they received data after this (boot time, s)."""
     visits: list[BackendVisit] = []
     first_piece_s: float | None = None
-    """When a stream's first event went to the caller (boot time, s)."""
+    """When the first event of a stream was sent to the caller (boot time, s)."""
     longest_pause_s: float = 0.0
-    known_digest: int | None = None
-    """What ``digest`` returned before."""
+    cached_digest: int | None = None
+    """Cached value of ``digest``."""
 
     @property
     def digest(self) -> int:
-        """Return what is alike for all attempts of this request."""
-        if self.known_digest is None:
-            self.known_digest = request_digest(self.request)
-        return self.known_digest
+        """Return a digest that is the same for all attempts of this request."""
+        if self.cached_digest is None:
+            self.cached_digest = request_digest(self.request)
+        return self.cached_digest
 
     @property
     def request_id(self) -> str:
-        """Return the caller's id of this attempt."""
+        """Return the request id given by the caller."""
         return self.terms.request_id
 
     @property
     def arrived_s(self) -> float:
-        """Return the arrival."""
+        """Return the arrival time."""
         return self.request.arrived_s
 
     @property
     def limit_s(self) -> float:
-        """Return how long the request may take: the caller's time or the route's time-out."""
+        """Return the time limit: the shorter of the caller's deadline and the route's time-out."""
         if self.terms.deadline_s is None:
             return self.route.timeout_s
         return min(self.route.timeout_s, self.terms.deadline_s)
 
     @property
     def deadline_s(self) -> float:
-        """Return when the request's time is over."""
+        """Return when the request times out."""
         return self.arrived_s + self.limit_s
 
     @property
     def target_s(self) -> float:
-        """Return the time until which an answer, or a first event, is in time."""
+        """Return the target time for a complete response, or for the first event of a stream."""
         return self.arrived_s + self.route.target_s
 
-    def since_arrival_ms(self) -> int:
-        """Return the milliseconds since the arrival."""
+    def ms_since_arrival(self) -> int:
+        """Return the time since the arrival, in milliseconds."""
         return round((boot_time_s() - self.arrived_s) * MS_A_SECOND)
 
     @contextlib.contextmanager
     def visit(self, backend: str, zone: str, role: str) -> Iterator[BackendVisit]:
-        """Note an exchange with a backend while it lasts, and how it ended."""
-        visit = BackendVisit(backend, zone, role, self.since_arrival_ms())
-        if len(self.visits) < MOST_VISITS:
+        """Record an exchange with a backend for the log, with its duration and outcome."""
+        visit = BackendVisit(backend, zone, role, self.ms_since_arrival())
+        if len(self.visits) < MAX_LOGGED_VISITS:
             self.visits.append(visit)
         try:
             yield visit
@@ -105,10 +103,10 @@
             visit.outcome = CUT_SHORT
             raise
         finally:
-            visit.held_ms = self.since_arrival_ms() - visit.from_ms
+            visit.held_ms = self.ms_since_arrival() - visit.from_ms
 
     def is_late(self) -> bool:
-        """Return whether an answer that is whole now missed the route's targets."""
+        """Return whether a response that completes now misses the route's latency targets."""
         answered_s = self.first_piece_s or boot_time_s()
         is_late = answered_s > self.target_s and self.route.target_s > 0
         gap_target_s = self.route.gap_target_s
@@ -119,7 +117,10 @@
         return max(0.0, self.deadline_s - boot_time_s())
 
     def backend_deadline_ms(self) -> int | None:
-        """Return the deadline that a backend is given: what the caller has left."""
+        """Return the time left for a backend, at least ``MIN_DEADLINE_MS``.
+
+        It is counted to the caller's deadline if one was given, else to the route's time-out.
+        """
         if self.terms.deadline_s is None:
             return max(MIN_DEADLINE_MS, int(self.left_s() * 1000))
         left_s = self.arrived_s + self.terms.deadline_s - boot_time_s()
@@ -127,26 +128,26 @@
 
     @contextlib.contextmanager
     def one_run(self) -> Iterator[None]:
-        """Count an attempt that may run from now on, unless the backend states that it did not."""
-        was_run_before = self.may_have_run
+        """Count an attempt as possibly run, unless the backend reports that it did not run it."""
+        may_have_run_before = self.may_have_run
         self.may_have_run = True
         self.runs += 1
         try:
             yield
         except BackendRefused:
-            self.may_have_run = was_run_before
+            self.may_have_run = may_have_run_before
             self.runs -= 1
             raise
 
     def may_run_again(self) -> bool:
-        """Return whether one more attempt that may run is allowed."""
+        """Return whether the route allows another attempt that may run."""
         if self.runs >= self.route.max_attempts:
             return False
         return self.route.may_repeat or not self.may_have_run
 
 
 class WholeAnswer(msgspec.Struct, frozen=True):
-    """An answer that was read whole."""
+    """A complete, buffered response."""
 
     head: AnswerHead
     body: bytes
--- a/src/yokedock/request/service_backend.py
+++ b/src/yokedock/request/service_backend.py
@@ -1,4 +1,7 @@
-"""An agent's plain service, and the at-most-once record of the calls that may not be repeated."""
+"""Backend of an agent beside a service without a model engine.
+
+Calls that may not be repeated are run at most once, by their idempotency keys.
+"""
 
 from __future__ import annotations
 
@@ -37,7 +40,7 @@
 
 
 class ServiceBusy(Refused):
-    """The replica has its maximum of calls in flight."""
+    """The replica has reached its limit of calls in flight."""
 
     code = "service_busy"
 
@@ -46,11 +49,11 @@
     """Decides whether this replica may run a key for the first time."""
 
     def confirm(self, service: str, key: str, bundle: Bundle) -> None:
-        """Return if it may; raise a typed error if another replica is or may be the key's home."""
+        """Raise a typed error if another replica is or may be the key's home."""
 
 
 class ServiceBackend(Backend):
-    """Carries out the calls for one replica of a service."""
+    """Runs the calls for one replica of a service."""
 
     def __init__(
         self,
@@ -60,7 +63,7 @@
         bundle: Callable[[], Bundle],
         home_check: HomeCheck,
     ) -> None:
-        """Prepare the replica called ``name``."""
+        """``name`` is the replica's name in the bundle, ``record`` its store of keys."""
         self._name = name
         self._client = client
         self._record = record
@@ -71,27 +74,27 @@
         self._is_leaving = False
 
     def is_quick(self, order: AnyMessage) -> bool:
-        """Return whether the order is answered from the record alone."""
+        """Return whether the order is served from the key store, without the service."""
         return isinstance(order, Tombstone)
 
     def run(self, order: AnyMessage, guard: OrderGuard, send: SendFrame) -> AnyMessage:
-        """Carry out one order."""
+        """Execute one order and return its reply."""
         match order:
             case ServiceCall():
                 return self._call(order, guard)
             case Tombstone():
                 return self._tombstone(order)
-        raise BadRequest("this agent stands beside a plain service; send it service calls")
+        raise BadRequest("this agent runs a service without a model engine; send it service calls")
 
     def release(self, attempt: str) -> None:
-        """A call that was handed to the service goes on: a service cannot take one back."""
+        """Do nothing, since a call that was sent to the service cannot be cancelled."""
 
     def holds(self, attempt: str) -> bool:
         """Return whether the call is running."""
         return attempt in self._running
 
     def load(self) -> LoadReport:
-        """Return the present load: calls in flight over the limit."""
+        """Return the current load: calls in flight, and their limit as slots."""
         service = self._service()
         slots = service.max_in_flight if service else 0
         return LoadReport(
@@ -99,7 +102,7 @@
         )
 
     def _service(self) -> Service | None:
-        """Return what the bundle says of this replica's service; None before the first bundle."""
+        """Return the bundle's entry of this replica's service; None before the first bundle."""
         try:
             bundle = self._bundle()
         except NotReady:
@@ -108,27 +111,27 @@
         return bundle.services.get(replica.service) if replica else None
 
     def in_flight(self) -> int:
-        """Return how many calls run."""
+        """Return the number of running calls."""
         return len(self._running)
 
     def set_leaving(self, leaving: bool) -> None:
-        """Take no new work while ``leaving``."""
+        """Reject new calls while ``leaving``."""
         self._is_leaving = leaving
 
     def record_size(self) -> int:
-        """Return the number of keys on record."""
+        """Return the number of stored idempotency keys."""
         return self._record.size()
 
     def _call(self, order: ServiceCall, guard: OrderGuard) -> ServiceAnswer:
         bundle = self._bundle()
         service = bundle.services.get(order.service)
         if service is None or bundle.replicas[self._name].service != order.service:
-            raise NotFound(f"{self._name} does not run {order.service}; look at the bundle")
+            raise NotFound(f"{self._name} does not run {order.service}; check the bundle")
         deadline_s = deadline_in(order.deadline_ms)
         if order.key:
             return self._call_once(order, guard, bundle, deadline_s)
         if not service.repeatable:
-            raise BadRequest("the call may not be repeated; send it with an Idempotency-Key")
+            raise BadRequest("the call may not be repeated; send an Idempotency-Key")
         self._enter(order.attempt, service.max_in_flight)
         try:
             guard.check(order.attempt)
@@ -139,8 +142,8 @@
     def _call_once(
         self, order: ServiceCall, guard: OrderGuard, bundle: Bundle, deadline_s: float
     ) -> ServiceAnswer:
-        """Run the key, or wait for the run that goes on, or repeat its answer."""
-        record, is_mine = self._record.begin(order.key, wall_clock_ms(), limits_of(bundle))
+        """Run the call if its key is new; else wait for the earlier run and return its response."""
+        record, is_mine = self._record.begin(order.key, wall_clock_ms(), key_record_limits(bundle))
         if not is_mine:
             return self._replay(record, deadline_s)
         try:
@@ -152,14 +155,17 @@
             finally:
                 self._leave(order.attempt)
         except YokedockError as error:
-            self._settle_failure(order.key, record, error)
+            self._record_failure(order.key, record, error)
             raise
         record.state = KeyState.ANSWERED
         record.finished.set_result(answer)
         return answer
 
-    def _settle_failure(self, key: str, record: KeyRecord, error: YokedockError) -> None:
-        """Forget a call that certainly did not run; keep any other as unknown for good."""
+    def _record_failure(self, key: str, record: KeyRecord, error: YokedockError) -> None:
+        """Keep an unknown outcome in the store.
+
+        After any other error the call certainly did not run, so its key is deleted and may run.
+        """
         if isinstance(error, OutcomeUnknown):
             record.state = KeyState.UNKNOWN
         else:
@@ -170,13 +176,13 @@
         try:
             answer = record.finished.result(timeout=left_s(deadline_s))
         except TimeoutError:
-            message = "the call still runs; ask again with the same key"
+            message = "the call is still running; retry with the same key"
             raise OutcomeUnknown(message, 1.0) from None
         return ServiceAnswer(answer.status, answer.content_type, answer.body, replayed=True)
 
     def _send(self, order: ServiceCall, deadline_s: float) -> ServiceAnswer:
         if left_s(deadline_s) <= 0:
-            raise NotRun("the deadline passed before the call was handed over; send it again")
+            raise NotRun("the deadline passed before the call was sent to the service; retry")
         try:
             return self._client.call(
                 order.service, order.body, order.content_type, order.key, left_s(deadline_s)
@@ -185,23 +191,25 @@
             raise NotRun(f"{error.message}; nothing was run, retry later", 1.0) from None
         except EngineLost as error:
             if order.key:
-                message = f"{error.message}; look up the result before sending it again"
+                message = f"{error.message}; check the result before a retry"
                 raise OutcomeUnknown(message) from None
-            raise DeadlineExceeded(f"{error.message}; send it again") from None
+            raise DeadlineExceeded(f"{error.message}; retry the call") from None
 
     def _tombstone(self, order: Tombstone) -> AnyMessage:
-        known = self._record.set_tombstone(order.key, wall_clock_ms(), limits_of(self._bundle()))
+        known = self._record.set_tombstone(
+            order.key, wall_clock_ms(), key_record_limits(self._bundle())
+        )
         if known is None:
             return TombstoneSet()
         if known.state is KeyState.ANSWERED:
             answer = known.finished.result()
             return ServiceAnswer(answer.status, answer.content_type, answer.body, replayed=True)
-        raise OutcomeUnknown("the call was handed over and its result is not known; look it up")
+        raise OutcomeUnknown("the call was sent and its outcome is unknown; check its result")
 
     def _enter(self, attempt: str, most: int) -> None:
         with self._lock:
             if self._is_leaving:
-                raise NoBackend(f"{self._name} is leaving; nothing was run, retry later", 1.0)
+                raise NoBackend(f"{self._name} is draining; nothing was run, retry later", 1.0)
             if len(self._running) >= most:
                 raise ServiceBusy(f"{self._name} is busy; nothing was run, retry later", 0.2)
             self._running.add(attempt)
@@ -211,7 +219,7 @@
             self._running.discard(attempt)
 
 
-def limits_of(bundle: Bundle) -> RecordLimits:
-    """Return the limits of the record of keys."""
+def key_record_limits(bundle: Bundle) -> RecordLimits:
+    """Return the limits of the key store, as the bundle sets them."""
     limits = bundle.limits
     return RecordLimits(limits.key_window_s * 1000, int(limits.clock_skew_s * 1000))
--- a/src/yokedock/request/service_request.py
+++ b/src/yokedock/request/service_request.py
@@ -1,4 +1,4 @@
-"""One call to a plain service, straight down."""
+"""Serves a caller's call to a service without a model engine, with retries."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from yokedock.request.admission import RetryBudget
 from yokedock.request.context import RequestContext
 from yokedock.request.idempotency import check_key_window
-from yokedock.request.service_backend import limits_of
+from yokedock.request.service_backend import key_record_limits
 from yokedock.version.bundle import Bundle
 from yokedock.version.bundle_store import BundleStore
 from yokedock.version.homes import home_of, rendezvous_order
 
 RETRY_S = 0.05
-ASK_AGAIN_S = 1.0
-"""Time kept, of a deadline, to find out what became of a call that was handed over."""
+OUTCOME_CHECK_RESERVE_S = 1.0
+"""Time reserved before the deadline to determine the outcome of a call that was sent."""
 TOMBSTONE_TIMEOUT_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceOrder:
-    """What the caller wants run."""
+    """A caller's call to a service."""
 
     service: str
     key: str
@@ -47,7 +47,7 @@
 
 
 class ServiceRequests:
-    """Serves calls to plain services for a gateway."""
+    """Serves calls to services without model engines, for a gateway."""
 
     def __init__(
         self,
@@ -55,30 +55,30 @@
         find_peer: Callable[[str], AgentPeerHandle | None],
         budget: RetryBudget,
     ) -> None:
-        """``find_peer`` returns the agent of a replica by name."""
+        """``find_peer`` returns the agent of the replica with a given name."""
         self._store = store
         self._find_peer = find_peer
         self._budget = budget
 
     def serve(self, context: RequestContext, order: ServiceOrder) -> ServiceAnswer:
-        """Return the service's answer; raises a typed error with the outcome."""
+        """Return the service's response; raises a typed error with the outcome."""
         bundle = self._store.current()
-        self._budget.request_arrived(bundle.limits.retry_share)
+        self._budget.add_request(bundle.limits.retry_share)
         if bundle.services[order.service].repeatable and not order.key:
             return self._serve_repeatable(context, order, bundle)
         if not order.key:
             message = f"calls of {order.service} may not be repeated; send an Idempotency-Key"
             raise BadIdempotencyKey(message)
-        check_key_window(order.key, wall_clock_ms(), limits_of(bundle))
+        check_key_window(order.key, wall_clock_ms(), key_record_limits(bundle))
         return self._serve_once(context, order)
 
     def _serve_repeatable(
         self, context: RequestContext, order: ServiceOrder, bundle: Bundle
     ) -> ServiceAnswer:
-        """Try the replicas, the least loaded first; repeat a lost call within the budget."""
+        """Try the replicas in order of load; retry a lost call within the retry budget."""
         last: YokedockError = NoBackend("no replica is reachable; retry later", 1.0)
         for peer in self._replicas(context, order.service, bundle):
-            attempt = context.next_attempt()
+            attempt = context.new_attempt_id()
             try:
                 return self._call(context, peer, order, attempt)
             except (Refused, NotRun, PeerNeverReached) as error:
@@ -100,59 +100,59 @@
         return sorted(ready, key=lambda p: p.view.load.slots_taken if p.view.load else 0)
 
     def _serve_once(self, context: RequestContext, order: ServiceOrder) -> ServiceAnswer:
-        """Call the key's home, and no other; find out what became of it when it does not answer."""
-        handed_over = False
+        """Call only the key's home; if it does not reply, determine the outcome of the call."""
+        may_have_been_sent = False
         while True:
             home = home_of(order.key, self._store.current().replicas_of(order.service))
             peer = self._find_peer(home) if home else None
             if peer is None:
-                raise NotRun("the key's home is not reachable; nothing was run, retry", 1.0)
-            attempt = context.next_attempt()
+                raise NotRun("the home of the key is not reachable; nothing was run, retry", 1.0)
+            attempt = context.new_attempt_id()
             try:
                 return self._call(context, peer, order, attempt)
             except PeerNeverReached as error:
-                if not handed_over:
+                if not may_have_been_sent:
                     raise NotRun(f"{error.message}; nothing was run", 1.0) from None
-                self._pause_or_give_up(context, peer, order)
+                self._wait_before_retry(context, peer, order)
             except PeerUnreachable:
-                handed_over = True
-                self._pause_or_give_up(context, peer, order)
+                may_have_been_sent = True
+                self._wait_before_retry(context, peer, order)
             except Refused as error:
-                if handed_over:
-                    message = f"an earlier order may have run ({error.code}); look up its result"
+                if may_have_been_sent:
+                    message = f"an earlier attempt may have run ({error.code}); check its result"
                     raise OutcomeUnknown(message, error.retry_after_s) from None
                 raise
             finally:
                 peer.drop(attempt)
 
-    def _pause_or_give_up(
+    def _wait_before_retry(
         self, context: RequestContext, peer: AgentPeerHandle, order: ServiceOrder
     ) -> None:
-        """Wait a moment before asking the same home again; raises when time is nearly over.
+        """Pause before a retry at the same home; near the deadline, raise the outcome instead.
 
-        Asking again with the same key is safe: the home runs a key at most once.
+        A retry with the same key is safe, since the home runs each key at most once.
         """
         context.check()
-        if context.left_ms() / 1000 > ASK_AGAIN_S + RETRY_S:
+        if context.left_ms() / 1000 > OUTCOME_CHECK_RESERVE_S + RETRY_S:
             time.sleep(RETRY_S)
             return
-        self._settle(peer, order)
+        self._resolve_outcome(peer, order)
 
-    def _settle(self, peer: AgentPeerHandle, order: ServiceOrder) -> None:
-        """Forbid the call at its home if that can still be confirmed; raises in every case."""
-        unknown = "the call was handed over and its home does not answer; look up its result"
+    def _resolve_outcome(self, peer: AgentPeerHandle, order: ServiceOrder) -> None:
+        """Set a tombstone for the key at its home, and raise an error with the outcome."""
+        unknown = "the call was sent and its home does not reply; check its result"
         try:
             reply = peer.call(Tombstone(order.service, order.key)).result(TOMBSTONE_TIMEOUT_S)
         except (YokedockError, TimeoutError):
             raise OutcomeUnknown(unknown) from None
         if isinstance(reply, TombstoneSet):
-            raise NotRun("the call was taken back before it ran; send it with a fresh key")
+            raise NotRun("the call was cancelled before it ran; retry with a new key")
         raise OutcomeUnknown(unknown)
 
     def _call(
         self, context: RequestContext, peer: AgentPeerHandle, order: ServiceOrder, attempt: str
     ) -> ServiceAnswer:
-        """Call one replica under the version in force."""
+        """Call one replica, retrying while its bundle version differs from the one in force."""
         for _ in range(20):
             message: AnyMessage = ServiceCall(
                 attempt,
@@ -171,4 +171,4 @@
                 continue
             assert isinstance(answer, ServiceAnswer)
             return answer
-        raise NotReady("the bundle in force is being exchanged; nothing was run, retry", 1.0)
+        raise NotReady("the bundle is being updated; nothing was run, retry", 1.0)
--- a/src/yokedock/request/slots.py
+++ b/src/yokedock/request/slots.py
@@ -1,13 +1,15 @@
-"""The decode slots of one engine: reservations made ahead of prefill, and running streams.
-
-A reservation promises that a slot is free by a certain time. The table replays how all streams
-take the slots in turn, each when its prefill is predicted to be over, at the measured step time and
-their longest output. A reservation is granted if its slot and those promised before come in time.
-
-Some slots are held back from long work of lower priority: as many as work of higher priority is
-expected to ask for within ``HEADROOM_S``, by its present rate. So a short urgent request finds a
-slot while long ones of lower priority fill the engine. Where no such work comes, nothing is held
-back, and work shorter than the urgent is not held back either: its slot is soon free again.
+"""Decode slots of one engine: reservations made before the prefill, and running streams.
+
+A reservation guarantees a free slot by a given time. To check it, the table simulates how streams
+occupy the slots: each starts when its prefill is predicted to end, and runs for its maximum output
+at the measured step time. A reservation is granted if it gets its slot in time and delays no
+earlier reservation past its own time.
+
+Some slots are kept free from long, low-priority requests: as many as the requests of higher
+priority that are expected within ``HEADROOM_WINDOW_S`` at their current arrival rate. So a short
+request of high priority finds a slot while long ones of lower priority fill the engine. Without
+arrivals of higher priority no slot is kept free. Requests shorter than those of higher priority are
+not limited either, since their slots are soon free again.
 """
 
 from __future__ import annotations
@@ -21,20 +23,20 @@
 from yokedock.request.arrival_rates import ArrivalRates
 
 STEP_SMOOTHING = 0.1
-"""Weight of a new step time in the running mean."""
+"""Weight of a new step time in the exponential moving average."""
 MIN_RETRY_AFTER_S = 0.2
-HEADROOM_S = 0.5
-"""Slots are held back for the higher-priority work that is expected within this time."""
-MOST_HEADROOM_SHARE = 0.5
-"""At most this share of the slots is held back."""
+HEADROOM_WINDOW_S = 0.5
+"""Slots are kept free for the higher-priority requests expected within this time."""
+MAX_HEADROOM_SHARE = 0.5
+"""At most this share of the slots is kept free."""
 
 
 @dataclasses.dataclass
 class SlotEntry:
-    """One reserved or running attempt; times are seconds of boot time.
+    """A reserved or running attempt; times are seconds of boot time.
 
-    ``ready_s`` is when its prefill is predicted to be over, ``latest_s`` when it must have its
-    slot, ``expires_s`` when a reservation that was not used ends.
+    ``ready_s`` is the predicted end of its prefill, ``latest_s`` the time by which it must have its
+    slot, ``expires_s`` the expiry of an unused reservation.
     """
 
     attempt: str
@@ -45,14 +47,14 @@
     expires_s: float
     is_running: bool = False
     is_in_batch: bool = False
-    """Whether it has brought tokens, and so certainly has its slot at the engine."""
+    """Whether it has produced tokens, and so certainly occupies a slot of the engine."""
 
 
 class SlotTable:
-    """Grants, holds and frees slots. Safe for use by several threads."""
+    """Reserves and frees slots. Thread-safe."""
 
     def __init__(self, slots: int, step_ms: float) -> None:
-        """Set the number of slots, and the step time to assume until steps are measured."""
+        """``step_ms`` is the step time assumed until steps are measured."""
         self.slots = slots
         self._step_s = step_ms / 1000
         self._lock = threading.Lock()
@@ -60,10 +62,10 @@
         self._rates = ArrivalRates()
 
     def reserve(self, entry: SlotEntry) -> float:
-        """Promise a slot by ``entry.latest_s``; return when one is expected to be free.
+        """Reserve a slot by ``entry.latest_s``; return when one is expected to be free.
 
-        Raises ``NoDecodeRoom`` when none will be free in time, or when another reservation would
-        come too late. Asking again for the same attempt renews its reservation.
+        Raises ``NoDecodeRoom`` if none will be free in time, or if another reservation would become
+        late. A second call for the same attempt extends its reservation.
         """
         now = boot_time_s()
         with self._lock:
@@ -75,14 +77,14 @@
             self._rates.arrived(entry.priority, entry.tokens_left, now)
             starts = self.expected_starts(now, entry, self._headroom(entry, now))
             late_s = starts[entry.attempt] - max(now, entry.latest_s)
-            if late_s > 0 or self._breaks_promise(now, starts):
-                message = "all decode slots are taken in time; retry later"
+            if late_s > 0 or self._delays_reservation(now, starts):
+                message = "no decode slot becomes free in time; retry later"
                 raise NoDecodeRoom(message, max(MIN_RETRY_AFTER_S, late_s))
             self._entries[entry.attempt] = entry
             return starts[entry.attempt]
 
     def start(self, attempt: str) -> None:
-        """Turn a reservation into a running stream; raises ``AttemptLost`` if it has expired."""
+        """Mark a reserved attempt as running; raises ``AttemptLost`` if its reservation expired."""
         with self._lock:
             self._drop_expired(boot_time_s())
             entry = self._entries.get(attempt)
@@ -91,46 +93,47 @@
             entry.is_running = True
 
     def progressed(self, attempt: str, tokens: int) -> None:
-        """Note that a running stream got ``tokens`` more."""
+        """Record that a running stream produced ``tokens`` more tokens."""
         entry = self._entries.get(attempt)
         if entry is not None:
             entry.tokens_left = max(0, entry.tokens_left - tokens)
             entry.is_in_batch = True
 
     def step_took(self, seconds: float) -> None:
-        """Take a measured step time into the running mean."""
+        """Add a measured step time to the moving average."""
         self._step_s += (seconds - self._step_s) * STEP_SMOOTHING
 
     def free(self, attempt: str) -> None:
-        """Free the attempt's slot."""
+        """Free the slot or the reservation of an attempt."""
         with self._lock:
             self._entries.pop(attempt, None)
 
     def taken(self) -> int:
-        """Return how many slots are reserved or running."""
+        """Return the number of reserved and running attempts."""
         with self._lock:
             self._drop_expired(boot_time_s())
             return len(self._entries)
 
     def _headroom(self, entry: SlotEntry, now: float) -> int:
-        """Return how many slots are held back from a stream of this priority and length."""
+        """Return how many slots are kept free from a stream of this priority and length."""
         urgent = self._rates.above(entry.priority, now)
         if urgent.per_s <= 0:
             return 0
-        how_much_longer = entry.tokens_left / max(1.0, urgent.mean_tokens) - 1
-        share = min(1.0, max(0.0, how_much_longer))
-        most = int(self.slots * MOST_HEADROOM_SHARE)
-        return min(most, round(urgent.per_s * HEADROOM_S * share))
+        relative_excess = entry.tokens_left / max(1.0, urgent.mean_tokens) - 1
+        share = min(1.0, max(0.0, relative_excess))
+        most = int(self.slots * MAX_HEADROOM_SHARE)
+        return min(most, round(urgent.per_s * HEADROOM_WINDOW_S * share))
 
     def expected_starts(
         self, now: float, asking: SlotEntry | None = None, headroom: int = 0
     ) -> dict[str, float]:
-        """Replay who takes a slot when; return the start of each that has none yet.
+        """Simulate the use of the slots; return when each attempt without a slot gets one.
 
-        ``asking`` must find one slot more than ``headroom`` free.
+        The simulation includes ``asking``, which gets a slot only once more than ``headroom`` slots
+        are free.
         """
         in_batch = [entry for entry in self._entries.values() if entry.is_in_batch]
-        ends = [now + self._stay_s(entry) for entry in in_batch]
+        ends = [now + self._remaining_run_s(entry) for entry in in_batch]
         ends += [now] * (self.slots - len(in_batch))
         heapq.heapify(ends)
         for _ in range(len(in_batch) - self.slots):
@@ -144,19 +147,19 @@
             free_s = heapq.nsmallest(needed + 1, ends)[-1]
             starts[entry.attempt] = max(now, free_s)
             taken_s = max(now, free_s, entry.ready_s)
-            heapq.heapreplace(ends, taken_s + self._stay_s(entry))
+            heapq.heapreplace(ends, taken_s + self._remaining_run_s(entry))
         return starts
 
-    def _breaks_promise(self, now: float, starts: dict[str, float]) -> bool:
-        """Return whether one more reservation makes another late that was not late before."""
+    def _delays_reservation(self, now: float, starts: dict[str, float]) -> bool:
+        """Return whether a new reservation makes an existing one late that was in time before."""
         before = self.expected_starts(now)
         return any(
             starts[attempt] > self._entries[attempt].latest_s >= start_s
             for attempt, start_s in before.items()
         )
 
-    def _stay_s(self, entry: SlotEntry) -> float:
-        """Return how long the entry keeps its slot from the time it has it."""
+    def _remaining_run_s(self, entry: SlotEntry) -> float:
+        """Return the expected time that the entry still occupies its slot once it has it."""
         return entry.tokens_left * self._step_s
 
     def _drop_expired(self, now: float) -> None:
--- a/src/yokedock/request/transfer_credit.py
+++ b/src/yokedock/request/transfer_credit.py
@@ -1,7 +1,8 @@
-"""Paces the transfers that leave one prefill engine, the shortest first.
+"""Schedules the outgoing transfers of one prefill engine, shortest first with aging.
 
-A burst of long prompts would otherwise share the link with every short one. A transfer waits here
-for its credit; one that has waited a while goes before shorter ones, so none starves.
+Without it, transfers of long prompts in a burst would share the link with those of short ones. A
+transfer waits for a credit before it starts. Its priority grows with its waiting time, so that no
+transfer starves.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 from yokedock.base.clock import boot_time_s
 
-AGING_BYTES_PER_S_SHARE = 1.0
-"""Waiting for a second counts like being shorter by this share of a second's bytes."""
+AGING_RATE_SHARE = 1.0
+"""Each second of waiting counts as a size smaller by this share of a second's link bytes."""
 CREDIT_SLACK_S = 1.0
-"""A credit that is not given back ends after four times its fair time plus this."""
+"""An unreturned credit expires after four times its fair-share transfer time plus this."""
 
 
 @dataclasses.dataclass
 class WaitingTransfer:
-    """One transfer that wants to start."""
+    """A transfer that waits for a credit."""
 
     attempt: str
     size: int
@@ -30,10 +31,10 @@
 
 
 class TransferCredit:
-    """Grants at most ``most`` transfers at one time."""
+    """Grants credits for at most ``most`` concurrent transfers."""
 
     def __init__(self, bytes_per_s: float, most: int) -> None:
-        """Set the link's rate and how many transfers share it."""
+        """``most`` transfers share a link of ``bytes_per_s``."""
         self._bytes_per_s = bytes_per_s
         self._most = most
         self._lock = threading.Lock()
@@ -41,26 +42,26 @@
         self._granted: dict[str, float] = {}
 
     def ask(self, attempt: str, size: int, patience_s: float, granted: Callable[[], None]) -> None:
-        """Call ``granted`` as soon as the transfer may start."""
+        """Request a credit; ``granted`` is called if the transfer may start in ``patience_s``."""
         now = boot_time_s()
         with self._lock:
             self._waiting.append(WaitingTransfer(attempt, size, now, now + patience_s, granted))
         self.check()
 
     def give_back(self, attempt: str) -> None:
-        """The transfer ended, or is not wanted any more."""
+        """Return the credit of a transfer that ended, or cancel its request for one."""
         with self._lock:
             self._granted.pop(attempt, None)
             self._waiting = [w for w in self._waiting if w.attempt != attempt]
         self.check()
 
     def backlog_s(self) -> float:
-        """Return how long the link needs for everything that waits."""
+        """Return the time that the link needs for all waiting transfers."""
         with self._lock:
             return sum(waiting.size for waiting in self._waiting) / self._bytes_per_s
 
     def check(self) -> None:
-        """Grant what can be granted now."""
+        """Grant free credits, and drop expired credits and requests."""
         now = boot_time_s()
         chosen: list[WaitingTransfer] = []
         with self._lock:
@@ -70,12 +71,12 @@
             while self._waiting and len(self._granted) < self._most:
                 first = min(self._waiting, key=lambda w: self._rank(w, now))
                 self._waiting.remove(first)
-                fair_s = 4 * self._most * first.size / self._bytes_per_s
-                self._granted[first.attempt] = now + fair_s + CREDIT_SLACK_S
+                fair_share_s = 4 * self._most * first.size / self._bytes_per_s
+                self._granted[first.attempt] = now + fair_share_s + CREDIT_SLACK_S
                 chosen.append(first)
         for transfer in chosen:
             transfer.granted()
 
     def _rank(self, waiting: WaitingTransfer, now: float) -> float:
-        aged = (now - waiting.since_s) * self._bytes_per_s * AGING_BYTES_PER_S_SHARE
-        return waiting.size - aged
+        aging_bytes = (now - waiting.since_s) * self._bytes_per_s * AGING_RATE_SHARE
+        return waiting.size - aging_bytes
