--- a/src/yokedock/request/admission.py
+++ b/src/yokedock/request/admission.py
@@ -57,11 +57,14 @@
                 )
             if self._by_tenant[caller.tenant] >= tenant_limit:
                 message = (
-                    f"the tenant has {tenant_limit} requests in flight, its limit; retry later"
+                    f"the tenant's limit of {tenant_limit} requests in flight is reached; "
+                    "retry later"
                 )
                 raise TenantLimitReached(message, RETRY_AFTER_S)
             if self._by_class[caller.class_name] >= class_limit:
-                message = f"the class has {class_limit} requests in flight, its limit; retry later"
+                message = (
+                    f"the class's limit of {class_limit} requests in flight is reached; retry later"
+                )
                 raise ClassLimitReached(message, RETRY_AFTER_S)
             self._total += 1
             self._by_tenant[caller.tenant] += 1
--- a/src/yokedock/request/call_attempt.py
+++ b/src/yokedock/request/call_attempt.py
@@ -85,7 +85,7 @@
         """Read the response, and abandon the attempt on a time-out if a retry has been reserved.
 
         If no other backend is available, waits for this one until the deadline. A backend that
-        exceeds the registry's response time-out is avoided by later calls.
+        stays silent for the registry's ``patience_s`` is avoided by later calls.
         """
         backend = exchange.backend
         patience_s = self._idle_timeout_s(call, backend)
--- a/src/yokedock/request/context.py
+++ b/src/yokedock/request/context.py
@@ -88,7 +88,7 @@
         try:
             return future.result(min(timeout_s, left_s(self.deadline_s)))
         except TimeoutError:
-            settle(future, error=PeerTimeout("the reply came after the time-out and was dropped"))
+            settle(future, error=PeerTimeout("the wait for this reply timed out"))
             self.check()
             message = "a peer did not reply in time; check its logs"
             raise PeerTimeout(message, 1.0) from None
--- a/src/yokedock/request/model_request.py
+++ b/src/yokedock/request/model_request.py
@@ -75,7 +75,9 @@
             return self._serve(context, order, stream)
         except YokedockError as error:
             if error.outcome is Outcome.NOT_RUN and context.may_have_run:
-                message = f"the response was lost and a retry failed: {error.message}"
+                message = (
+                    f"the response was lost and the request could not be retried: {error.message}"
+                )
                 raise AnswerLost(message, error.retry_after_s) from None
             raise
 
--- a/src/yokedock/request/opaque_call.py
+++ b/src/yokedock/request/opaque_call.py
@@ -46,7 +46,7 @@
 An outage is expected to last as long again as it has lasted so far.
 """
 FORGOTTEN_S = 10.0
-"""An outage is forgotten when no call has run into it for this long."""
+"""An outage that no call has met for this long is discarded as over or irrelevant."""
 RETRY_AFTER_JITTER = 1.5
 """Retry-after times are spread evenly between one and this many times the expected wait."""
 
@@ -85,7 +85,10 @@
         await call.answer.whole(answer.head, answer.body)
 
     async def _serve(self, call: RoutedCall, retries: RequestRetries) -> WholeAnswer:
-        """Try backends until one responds; return a server error only if no retry is allowed."""
+        """Try backends until one responds.
+
+        A server error is returned only if no retry is allowed or none gets a response.
+        """
         attempts = CallAttempts()
         kept: WholeAnswer | None = None
         while True:
--- a/src/yokedock/request/openai_format.py
+++ b/src/yokedock/request/openai_format.py
@@ -163,7 +163,10 @@
 
 
 class AnswerFormat:
-    """Builds the JSON objects of one response, for chat completions or completions."""
+    """Builds the JSON objects of one response.
+
+    Chat completions and completions differ in a few fields.
+    """
 
     def __init__(self, request_id: str, model: str, is_chat: bool) -> None:
         """Encode the part that is the same in every event of a streamed response."""
--- a/src/yokedock/request/routed_call.py
+++ b/src/yokedock/request/routed_call.py
@@ -37,7 +37,7 @@
     route: Route
     service: ServiceSpec
     runs: int = 0
-    """Attempts that may have run, each at a different backend."""
+    """Attempts that may have run, each sent to one backend."""
     arrivals: int = 0
     """Requests sent to backends, including rejected ones."""
     may_have_run: bool = False
--- a/src/yokedock/request/service_backend.py
+++ b/src/yokedock/request/service_backend.py
@@ -164,7 +164,8 @@
     def _record_failure(self, key: str, record: KeyRecord, error: YokedockError) -> None:
         """Keep an unknown outcome in the store.
 
-        After any other error the call certainly did not run, so its key is deleted and may run.
+        After any other error the call certainly did not run, so its key is deleted and a
+        retry may run.
         """
         if isinstance(error, OutcomeUnknown):
             record.state = KeyState.UNKNOWN
--- a/src/yokedock/request/transfer_credit.py
+++ b/src/yokedock/request/transfer_credit.py
@@ -42,7 +42,10 @@
         self._granted: dict[str, float] = {}
 
     def ask(self, attempt: str, size: int, patience_s: float, granted: Callable[[], None]) -> None:
-        """Request a credit; ``granted`` is called if the transfer may start in ``patience_s``."""
+        """Request a credit for a transfer.
+
+        ``granted`` is called once the transfer may start, unless ``patience_s`` has passed by then.
+        """
         now = boot_time_s()
         with self._lock:
             self._waiting.append(WaitingTransfer(attempt, size, now, now + patience_s, granted))
