--- a/src/yokedock/version/__init__.py
+++ b/src/yokedock/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the bundle."""
+"""Versioned configuration: bundles, route tables, and the decisions derived from one version."""
--- a/src/yokedock/version/bundle_codec.py
+++ b/src/yokedock/version/bundle_codec.py
@@ -1,7 +1,7 @@
 """The published form of a bundle: a signed manifest and content-addressed sections.
 
 A section is the canonical JSON of one table, or of one shard of a large table, and is named by the
-SHA-256 of its content, so a change moves only the sections that changed. The envelope is the
+SHA-256 of its content, so an update transfers only the sections that changed. The envelope is the
 manifest with an Ed25519 signature over its bytes.
 """
 
@@ -33,13 +33,13 @@
 
 MAX_ENVELOPE_BYTES = 1_000_000
 MAX_SECTION_BYTES = 1_000_000
-ENTRIES_PER_SHARD = 64
-"""Aim for the number of tenants or engines in one shard (about 16 KB of JSON)."""
+TARGET_ENTRIES_PER_SHARD = 64
+"""Target number of entries, such as tenants or engines, per shard (about 16 KB of JSON)."""
 
 ENVELOPE_KEY = "bundle"
 SECTION_PREFIX = "section/"
 PACK_KEY = "sections"
-"""Key of all sections in one value: a process that starts reads this one instead of each."""
+"""Key of one value that holds all sections: a starting process reads it instead of each section."""
 MAX_PACK_BYTES = 1_000_000
 
 _TABLE_KINDS: dict[str, type] = {
@@ -53,7 +53,7 @@
 
 
 class SectionEntry(msgspec.Struct, frozen=True):
-    """One line of the manifest: which table, which shard, and the content's digest."""
+    """One entry of the manifest: table, shard, and the digest and size of the content."""
 
     table: str
     shard: int
@@ -62,7 +62,7 @@
 
 
 class Manifest(msgspec.Struct, frozen=True):
-    """What is signed: the version and all sections."""
+    """The signed content: the version and the list of all sections."""
 
     version: int
     created_at_ms: int
@@ -70,22 +70,22 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """The manifest's bytes and the signature over them."""
+    """The encoded manifest and the signature over its bytes."""
 
     manifest: bytes
     signature: bytes
 
 
 class SignedBundle(msgspec.Struct, frozen=True):
-    """An encoded envelope and the sections it names, by digest."""
+    """An encoded envelope and the sections that it lists, keyed by digest."""
 
     envelope: bytes
     sections: dict[str, bytes]
 
     def published(self) -> tuple[PublishedItem, ...]:
-        """Return what is published under which key, in the order of publication.
+        """Return the items to publish, in the order of publication.
 
-        The envelope comes last, so that nobody finds it before its sections.
+        The envelope comes last, so that no reader finds it before its sections.
         """
         items = [PublishedItem(SECTION_PREFIX + d, c) for d, c in self.sections.items()]
         items.append(PublishedItem(PACK_KEY, pack_sections(self.sections)))
@@ -93,19 +93,19 @@
 
 
 class PublishedItem(msgspec.Struct, frozen=True):
-    """One value of the configuration service, and its key."""
+    """One key and value of the configuration service."""
 
     key: str
     content: bytes
 
 
 def digest_of(content: bytes) -> str:
-    """Return the SHA-256 of a section or envelope in hexadecimal digits."""
+    """Return the SHA-256 of a section or envelope as hexadecimal digits."""
     return hashlib.sha256(content).hexdigest()
 
 
 def stamp_of(version: int, envelope: bytes) -> BundleStamp:
-    """Return the short form by which peers compare what they have in force."""
+    """Return the short identifier by which peers compare their active versions."""
     return BundleStamp(version, digest_of(envelope)[:16])
 
 
@@ -125,13 +125,13 @@
 
 
 def pack_sections(sections: dict[str, bytes]) -> bytes:
-    """Return all sections as one value; empty if they do not fit into one."""
+    """Return all sections as one value; empty if they exceed ``MAX_PACK_BYTES``."""
     packed = msgspec.msgpack.encode(sections)
     return packed if len(packed) <= MAX_PACK_BYTES else b""
 
 
 def unpack_sections(packed: bytes) -> dict[str, bytes]:
-    """Return the sections of a pack whose content is what their digest says."""
+    """Return the sections of a pack whose content matches their digest."""
     try:
         sections = msgspec.msgpack.decode(packed, type=dict[str, bytes])
     except msgspec.MsgspecError:
@@ -140,28 +140,28 @@
 
 
 def open_envelope(envelope: bytes, key: Ed25519PublicKey) -> Manifest:
-    """Check size, form and signature; raises ``BundleRejected``."""
+    """Check size, format and signature; raises ``BundleRejected``."""
     if len(envelope) > MAX_ENVELOPE_BYTES:
-        raise BundleRejected("the envelope is over 1 MB; publish what 'bundle sign' wrote")
+        raise BundleRejected("the envelope is over 1 MB; publish the file that 'bundle sign' wrote")
     try:
         opened = msgspec.json.decode(envelope, type=Envelope)
         key.verify(opened.signature, opened.manifest)
         manifest = msgspec.json.decode(opened.manifest, type=Manifest)
     except InvalidSignature:
-        message = "the signature is not by the deployment's key; sign with its private key"
+        message = "the signature does not match the deployment's key; sign with its private key"
         raise BundleRejected(message) from None
     except msgspec.MsgspecError:
         message = "the envelope is truncated or altered; publish it again"
         raise BundleRejected(message) from None
     if manifest.version < 1:
-        raise BundleRejected("the version is not positive; sign with --version 1 or higher")
+        raise BundleRejected("the version is below 1; sign with --version 1 or higher")
     return manifest
 
 
 def assemble(manifest: Manifest, sections: dict[str, bytes]) -> Bundle:
     """Build the bundle from its sections; raises ``BundleRejected`` if any is missing or altered.
 
-    Reads every section's digest again, whoever it came from.
+    Every section's digest is verified again, whatever source it came from.
     """
     tables: dict[str, dict[str, Any]] = {table: {} for table in _TABLE_KINDS}
     limits = Limits()
@@ -180,7 +180,7 @@
                 kind = _TABLE_KINDS[entry.table]
                 tables[entry.table].update(msgspec.json.decode(content, type=dict[str, kind]))  # type: ignore[valid-type]
         except msgspec.MsgspecError:
-            message = f"section {entry.table} cannot be read; sign with this version of yokedock"
+            message = f"section {entry.table} cannot be decoded; sign with this version of yokedock"
             raise BundleRejected(message) from None
     return Bundle(
         manifest.version, manifest.created_at_ms, limits, previous_pools=previous_pools, **tables
@@ -188,7 +188,7 @@
 
 
 def _encode_tables(bundle: Bundle) -> list[tuple[str, int, bytes]]:
-    """Return (table, shard, content) for all sections, in a fixed order."""
+    """Return (table, shard, content) of all sections, in a fixed order."""
     encoder = msgspec.json.Encoder(order="sorted")
     encoded = [
         ("limits", 0, encoder.encode(bundle.limits)),
@@ -196,15 +196,15 @@
     ]
     for table in _TABLE_KINDS:
         entries: dict[str, Any] = getattr(bundle, table)
-        for shard, content in enumerate(_shards(entries)):
+        for shard, content in enumerate(_split_into_shards(entries)):
             encoded.append((table, shard, encoder.encode(content)))
     return encoded
 
 
-def _shards(entries: dict[str, Any]) -> list[dict[str, Any]]:
-    """Split a table by the hash of each name, so that one entry's change moves one shard."""
+def _split_into_shards(entries: dict[str, Any]) -> list[dict[str, Any]]:
+    """Split a table by the hash of each name, so that changing one entry changes one shard."""
     count = 1
-    while count * ENTRIES_PER_SHARD < len(entries):
+    while count * TARGET_ENTRIES_PER_SHARD < len(entries):
         count *= 2
     shards: list[dict[str, Any]] = [{} for _ in range(count)]
     for name, entry in entries.items():
@@ -213,9 +213,9 @@
 
 
 def with_previous_pools(bundle: Bundle, previous: Bundle, now_ms: int) -> Bundle:
-    """Return ``bundle`` stating which replicas each changed service had in ``previous``.
+    """Return ``bundle`` with the replicas that each changed service had in ``previous``.
 
-    A pool that did not change keeps what ``previous`` said of its last change.
+    A pool that did not change keeps the record of its last change from ``previous``.
     """
     pools: dict[str, PreviousPool] = {}
     for service in bundle.services:
--- a/src/yokedock/version/bundle_source.py
+++ b/src/yokedock/version/bundle_source.py
@@ -1,4 +1,4 @@
-"""Reads a bundle's INI source and checks it as a whole."""
+"""Parses a bundle's INI source and validates it, including references between sections."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from yokedock.errors import BundleInvalid
 from yokedock.version.bundle import KINDS, ROLE_DECODE, ROLE_PREFILL, Bundle, Limits
 
-_NAME = re.compile(r"^[a-z0-9][a-z0-9._-]{0,63}$")
-_SHA256 = re.compile(r"^[0-9a-f]{64}$")
+_NAME_PATTERN = re.compile(r"^[a-z0-9][a-z0-9._-]{0,63}$")
+_SHA256_PATTERN = re.compile(r"^[0-9a-f]{64}$")
 _TABLES = {
     "class": "classes",
     "tenant": "tenants",
@@ -23,9 +23,9 @@
 
 
 def read_bundle_source(path: Path) -> Bundle:
-    """Return the bundle that the INI file states, with version 0.
+    """Return the bundle described by an INI file, with version 0.
 
-    Raises ``BundleInvalid`` with every error and its remedy.
+    Raises ``BundleInvalid`` listing every error with its remedy.
     """
     problems = Problems()
     parser = read_ini(path, problems)
@@ -40,8 +40,10 @@
             kinds = ", ".join(f"[{known} NAME]" for known in KINDS)
             problems.add(f"[{title}]", "unknown section", f"use [limits], {kinds}")
             continue
-        if not _NAME.match(name):
-            problems.add(f"[{title}]", "bad name", "use small letters, digits, '.', '_' and '-'")
+        if not _NAME_PATTERN.match(name):
+            problems.add(
+                f"[{title}]", "invalid name", "use lower-case letters, digits, '.', '_' and '-'"
+            )
         value = read_section(KINDS[kind], title, parser[title], problems)
         if value is not None:
             tables[_TABLES[kind]][name] = value
@@ -56,16 +58,20 @@
 
 
 def _check_references(bundle: Bundle, problems: Problems) -> None:
-    """Check what one section says about another."""
+    """Check the references between sections, and that tokens and agents are unique."""
     if not bundle.classes:
-        problems.add("[class …]", "none stated", "add at least one, such as [class default]")
+        problems.add("[class …]", "no request class", "add at least one, such as [class default]")
     hashes: dict[str, str] = {}
     for name, tenant in bundle.tenants.items():
         place = f"[tenant {name}] token_sha256"
-        if not _SHA256.match(tenant.token_sha256):
-            problems.add(place, "not a hash", "write the token's SHA-256, 64 hexadecimal digits")
+        if not _SHA256_PATTERN.match(tenant.token_sha256):
+            problems.add(
+                place, "not a SHA-256 hash", "write the token's SHA-256 as 64 hexadecimal digits"
+            )
         if tenant.token_sha256 in hashes:
-            problems.add(place, f"same as {hashes[tenant.token_sha256]}'s", "give each its own")
+            problems.add(
+                place, f"same as {hashes[tenant.token_sha256]}'s", "give each tenant its own"
+            )
         hashes[tenant.token_sha256] = name
         for used in tenant.classes:
             if used not in bundle.classes:
@@ -75,31 +81,31 @@
         if engine.model not in bundle.models:
             remedy = f"add [model {engine.model}]"
             problems.add(f"[engine {name}] model", f"no model {engine.model}", remedy)
-        _check_agent(f"[engine {name}] agent", name, engine.agent, agents, problems)
+        _check_agent_unique(f"[engine {name}] agent", name, engine.agent, agents, problems)
     for name, replica in bundle.replicas.items():
         if replica.service not in bundle.services:
             remedy = f"add [service {replica.service}]"
             problems.add(f"[replica {name}] service", f"no service {replica.service}", remedy)
         if name in bundle.engines:
             problems.add(f"[replica {name}]", "an engine has this name", "rename one of them")
-        _check_agent(f"[replica {name}] agent", name, replica.agent, agents, problems)
-    _check_roles(bundle, problems)
+        _check_agent_unique(f"[replica {name}] agent", name, replica.agent, agents, problems)
+    _check_fixed_roles(bundle, problems)
 
 
-def _check_agent(
+def _check_agent_unique(
     place: str, name: str, agent: str, agents: dict[str, str], problems: Problems
 ) -> None:
-    """Check that no two back ends share an agent."""
+    """Check that no two backends have the same agent address."""
     if agent in agents:
-        problems.add(place, f"same as {agents[agent]}'s", "give each back end its own agent")
+        problems.add(place, f"same as {agents[agent]}'s", "give each backend its own agent")
     agents[agent] = name
 
 
-def _check_roles(bundle: Bundle, problems: Problems) -> None:
-    """Check that each model has a fixed prefill and a fixed decode engine."""
+def _check_fixed_roles(bundle: Bundle, problems: Problems) -> None:
+    """Check that each model has at least one fixed prefill and one fixed decode engine."""
     for model in bundle.models:
         roles = {engine.role for engine in bundle.engines.values() if engine.model == model}
         for role in (ROLE_PREFILL, ROLE_DECODE):
             if role not in roles:
-                remedy = f"add an engine with role = {role}, so that the role never goes empty"
+                remedy = f"add an engine with role = {role}, so that the role always has one"
                 problems.add(f"[model {model}]", f"no fixed {role} engine", remedy)
--- a/src/yokedock/version/role_ladder.py
+++ b/src/yokedock/version/role_ladder.py
@@ -1,4 +1,8 @@
-"""The ladder of thresholds by which flexible engines choose their role (pure functions)."""
+"""Chooses the role of flexible engines from ranked demand thresholds (pure functions).
+
+Each flexible engine of a model has a rank, and each rank has its own threshold of the demand for
+prefill, so engines change their role one after the other as the demand shifts.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +11,12 @@
 from yokedock.version.bundle import ROLE_DECODE, ROLE_FLEXIBLE, ROLE_PREFILL, Bundle
 
 HYSTERESIS_SHARE = 0.25
-"""Width of the dead band around a threshold, as a share of one engine's step on the ladder."""
+"""Distance from a threshold at which a role changes, as a fraction of the step between ranks."""
 
 
 @dataclasses.dataclass(frozen=True)
 class EnginePlan:
-    """What the bundle says of one engine."""
+    """The configured role of one engine, and the minimum time between its role changes."""
 
     role: str
     dwell_s: float
@@ -20,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class LadderPosition:
-    """Where a flexible engine stands: its rank, and how many engines are fixed in each role."""
+    """The rank of a flexible engine, and how many flexible and fixed engines its model has."""
 
     rank: int
     flexible: int
@@ -29,7 +33,7 @@
 
 
 def ladder_position(name: str, bundle: Bundle) -> LadderPosition:
-    """Return the position of the engine called ``name`` among those of its model."""
+    """Return the position of engine ``name`` among the engines of its model."""
     model = bundle.engines[name].model
     peers = {n: e for n, e in bundle.engines.items() if e.model == model}
     flexible = sorted(n for n, e in peers.items() if e.role == ROLE_FLEXIBLE)
@@ -42,13 +46,14 @@
 
 
 def wanted_role(position: LadderPosition, prefill_share: float, present: str) -> str:
-    """Return the role for a share of demand that is prefill (0 to 1).
+    """Return the role of an engine, given the prefill share (0 to 1) of the total demand.
 
-    The engine of rank k prefills when the share asks for more than ``fixed_prefill + k`` engines;
-    it changes only when the share has crossed its threshold by the dead band.
+    The engine of rank k takes the prefill role if the share corresponds to more than
+    ``fixed_prefill + k + 0.5`` engines. It changes its role only when the demand is past that
+    threshold by ``HYSTERESIS_SHARE``, so that it does not oscillate.
     """
     engines = position.flexible + position.fixed_prefill + position.fixed_decode
-    wanted_engines = prefill_share * engines
+    prefill_engines_needed = prefill_share * engines
     threshold = position.fixed_prefill + position.rank + 0.5
-    band = HYSTERESIS_SHARE if present == ROLE_DECODE else -HYSTERESIS_SHARE
-    return ROLE_PREFILL if wanted_engines > threshold + band else ROLE_DECODE
+    hysteresis = HYSTERESIS_SHARE if present == ROLE_DECODE else -HYSTERESIS_SHARE
+    return ROLE_PREFILL if prefill_engines_needed > threshold + hysteresis else ROLE_DECODE
--- a/src/yokedock/version/route_table.py
+++ b/src/yokedock/version/route_table.py
@@ -1,4 +1,4 @@
-"""Routes, services and caller limits of one configuration version, and how a route is found."""
+"""Routes, services and caller limits of one configuration version, and route look-up."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class RouteKind(enum.StrEnum):
-    """What may be repeated on a route."""
+    """Whether requests on a route may be executed more than once."""
 
     REPEATABLE = "repeatable"
-    """A request may run more than once."""
+    """A request may be executed more than once."""
     ONCE = "once"
-    """A request runs at most once."""
+    """A request is executed at most once."""
     STREAM = "stream"
-    """The answer is a stream of events; repeatable only where the route is resumable."""
+    """The response is a stream of events; repeatable only if the route is resumable."""
 
 
 class WeightedTarget(msgspec.Struct, frozen=True):
-    """One service of a route and its share of the route's requests."""
+    """A target service of a route and its share of the route's requests."""
 
     service: str
     weight: float = 1.0
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One route. Times are in seconds; ``prefix`` begins and ends with a slash."""
+    """One route. ``prefix`` begins and ends with a slash."""
 
     name: str
     host: str
@@ -42,12 +42,12 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Return whether a request may run again after it may have run."""
+        """Return whether a request may be sent again after it may have been executed."""
         return self.kind is RouteKind.REPEATABLE or self.resumable
 
 
 class EngineTraits(msgspec.Struct, frozen=True):
-    """What all model engines of a service have in common. Memory is counted in tokens."""
+    """Properties shared by all model engines of a service. Memory is counted in tokens."""
 
     slots: int
     memory_tokens: int
@@ -55,14 +55,14 @@
     link_mbps: float
     tokens_per_event: int = 1
     handle_s: float = 0.5
-    """How long an engine keeps what it prefilled for another."""
+    """How long an engine keeps the KV cache of a prefill for transfer to another engine."""
     switch_s: float = 0.0
-    """How long an engine is away when it changes its role."""
+    """How long an engine is unavailable during a role change."""
     longest_hold_s: float = 0.0
 
 
 class ServiceSpec(msgspec.Struct, frozen=True):
-    """One service: its health path, the connections a backend takes, engines' traits if any."""
+    """One service: health path, connection limit per backend, and engine traits, if any."""
 
     name: str
     health_path: str = "/health"
@@ -71,7 +71,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """What a caller may send, and how long it may take or stay idle."""
+    """Size and time limits for callers."""
 
     header_bytes: int = 16_384
     body_bytes: int = 4_194_304
@@ -80,7 +80,7 @@
 
 
 class RouteTable(msgspec.Struct, frozen=True):
-    """One configuration version, whole."""
+    """One complete configuration version."""
 
     version: int
     routes: tuple[Route, ...]
@@ -89,19 +89,19 @@
 
 
 class RouteIndex:
-    """Finds the route of a request in one table."""
+    """Finds the route of a request in a route table."""
 
     def __init__(self, table: RouteTable) -> None:
-        """Sort the routes of each host, the longest prefix first."""
+        """Group the routes by host, longest prefix first."""
         self.table = table
         self._by_host: dict[str, list[Route]] = {}
         for route in sorted(table.routes, key=lambda route: -len(route.prefix)):
             self._by_host.setdefault(route.host.lower(), []).append(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path`` on ``host``, None if there is none.
+        """Return the route with the longest matching prefix on ``host``, None if there is none.
 
-        ``host`` may carry a port; ``path`` is as the caller sent it, without the query.
+        ``host`` may include a port; ``path`` is the path as received, without the query.
         """
         name = host.partition(":")[0].lower()
         for route in self._by_host.get(name, ()):
--- a/src/yokedock/version/subset.py
+++ b/src/yokedock/version/subset.py
@@ -1,7 +1,8 @@
-"""Which engines a gateway talks to: a deterministic subset of each pool, own zone first.
+"""Selects a deterministic subset of engines for each gateway, preferring the gateway's own zone.
 
-A full mesh of gateways and agents would cost each gateway more heartbeats than its control budget
-allows, so each takes, for every model and role, the engines that rendezvous hashing gives it.
+In a full mesh of gateways and agents, the heartbeats would exceed each gateway's budget for control
+traffic. Each gateway therefore connects, for every model and role, only to the engines that
+rendezvous hashing ranks first for it.
 """
 
 from __future__ import annotations
@@ -11,12 +12,13 @@
 from yokedock.version.bundle import Engine
 from yokedock.version.homes import rendezvous_order
 
-OWN_ZONE_SHARE = 0.75
-"""At most this share of a subset is in the gateway's own zone, so that it survives the zone."""
+MAX_OWN_ZONE_SHARE = 0.75
+"""Maximum share of a subset in the gateway's own zone while other zones have engines, so that the
+subset survives an outage of that zone."""
 
 
 def choose_subset(gateway: str, zone: str, engines: dict[str, Engine], size: int) -> list[str]:
-    """Return the names of the engines to talk to: at most ``size`` of each model and role."""
+    """Return the names of the selected engines: at most ``size`` for each model and role."""
     groups: dict[tuple[str, str], list[str]] = collections.defaultdict(list)
     for name, engine in engines.items():
         groups[engine.model, engine.role].append(name)
@@ -32,7 +34,7 @@
     order = rendezvous_order(gateway, names)
     near = [name for name in order if engines[name].zone == zone]
     far = [name for name in order if engines[name].zone != zone]
-    from_near = near[: max(1, int(size * OWN_ZONE_SHARE))]
-    from_far = far[: size - len(from_near)]
-    rest = [name for name in near if name not in from_near]
-    return (from_near + from_far + rest)[:size]
+    chosen_near = near[: max(1, int(size * MAX_OWN_ZONE_SHARE))]
+    chosen_far = far[: size - len(chosen_near)]
+    rest = [name for name in near if name not in chosen_near]
+    return (chosen_near + chosen_far + rest)[:size]
