--- a/src/yokedock/base/__init__.py
+++ b/src/yokedock/base/__init__.py
@@ -1,1 +1,1 @@
-"""What every other package may use: clock, logs, options, histograms and metrics."""
+"""Foundations for all other packages: clock, logs, options, histograms, metrics and sockets."""
--- a/src/yokedock/base/clock.py
+++ b/src/yokedock/base/clock.py
@@ -1,7 +1,7 @@
-"""Time: one clock for ages and deadlines, which also counts while the machine is suspended.
+"""The clock for ages and deadlines, which also advances while the machine is suspended.
 
-The monotonic clock stands still in a suspension: by it a lease, a belief or a caller's deadline
-would be as fresh on waking as before. No other module reads a clock for these.
+The monotonic clock stops during a suspension: measured by it, a lease, cached state or a caller's
+deadline would be as fresh after resuming as before. No other module reads a clock for these.
 
 ``use_clock`` replaces the clock of the whole process, for simulations.
 """
@@ -13,7 +13,7 @@
 import time
 
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""Systems other than Linux have no clock of this name; their monotonic one stands in."""
+"""Systems without ``CLOCK_BOOTTIME``, which is specific to Linux, use their monotonic clock."""
 
 
 class Clock(abc.ABC):
@@ -59,15 +59,15 @@
 
 
 def boot_time_s() -> float:
-    """Return the seconds since some moment: it never goes back, and counts a suspension."""
+    """Return the seconds since an arbitrary moment, including suspensions; never decreases."""
     return _clock.boot_time_s()
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Return an event loop whose timers count a suspension too.
+    """Return an event loop whose timers include the time of a suspension.
 
-    Its waits in the kernel do not: a timer that came due meanwhile is noticed at the first round
-    after waking, which the shortest timer of the loop brings about.
+    Its waits in the kernel do not: a timer that expired during a suspension runs in the first
+    iteration of the loop after resuming, which the shortest timer of the loop triggers.
     """
     loop = asyncio.new_event_loop()
     loop.time = boot_time_s  # type: ignore[method-assign]
@@ -75,32 +75,32 @@
 
 
 class SuspensionMeter:
-    """Tells how long the machine was suspended: the clock that counts it runs ahead by that."""
+    """Measures suspensions of the machine, by which boot time runs ahead of monotonic time."""
 
     def __init__(self) -> None:
-        """Begin now."""
-        self._ahead_s = _clock.boot_time_s() - _clock.monotonic_time_s()
+        """Start measuring now."""
+        self._boot_lead_s = _clock.boot_time_s() - _clock.monotonic_time_s()
 
     def slept_s(self) -> float:
-        """Return the seconds of suspension since the last call, less than a millisecond if none."""
+        """Return the seconds of suspension since the last call, under a millisecond if none."""
         ahead_s = _clock.boot_time_s() - _clock.monotonic_time_s()
-        slept_s = ahead_s - self._ahead_s
-        self._ahead_s = ahead_s
+        slept_s = ahead_s - self._boot_lead_s
+        self._boot_lead_s = ahead_s
         return slept_s
 
 
 def deadline_in(duration_ms: float) -> float:
-    """Return the time of this clock, in seconds, at which ``duration_ms`` from now are over."""
+    """Return the boot time in seconds at ``duration_ms`` from now."""
     return boot_time_s() + duration_ms / 1000
 
 
 def left_s(deadline_s: float) -> float:
-    """Return the seconds until a deadline of this clock, 0 when it has passed."""
+    """Return the seconds until a deadline in boot time, 0 if it has passed."""
     return max(0.0, deadline_s - boot_time_s())
 
 
 def left_ms(deadline_s: float) -> int:
-    """Return the whole milliseconds until a deadline of this clock, 0 when it has passed."""
+    """Return the whole milliseconds until a deadline in boot time, 0 if it has passed."""
     return int(left_s(deadline_s) * 1000)
 
 
--- a/src/yokedock/base/early_sockets.py
+++ b/src/yokedock/base/early_sockets.py
@@ -1,8 +1,9 @@
-"""Listens before the program is loaded, so that callers who come meanwhile wait instead of fail.
+"""Opens listening sockets before the program is loaded, so that callers wait instead of failing.
 
-Loading takes 0.14 s of a 2 GHz core, more on a small machine. After everything died at once every
-caller meets a machine that is loading; a connection that is refused costs it one of its retries,
-one that waits in the queue of the kernel is served in time. This module imports nothing heavy.
+Loading takes 0.14 s of a 2 GHz core, more on a small machine. After all processes have crashed at
+once, every caller meets a router that is still loading. A refused connection costs the caller one
+of its retries; one that waits in the kernel's queue is served in time. To start fast, this module
+imports only light modules.
 """
 
 from __future__ import annotations
@@ -10,16 +11,16 @@
 import socket
 
 BACKLOG = 512
-"""Connections that wait in the kernel's queue until they are accepted."""
-OPTIONS = ("listen", "ready_listen")
-SECTION = "[callers]"
+"""Maximum number of connections in the kernel's queue that wait to be accepted."""
+LISTEN_OPTIONS = ("listen", "ready_listen")
+CALLERS_SECTION = "[callers]"
 
 
 def listen_early(settings_path: str) -> dict[str, socket.socket]:
-    """Return listening sockets by address for the callers' addresses of a router's settings.
+    """Return listening sockets, keyed by address, for the caller addresses in a router's settings.
 
-    Whatever cannot be read or bound is left out: the program reads its settings again, in full,
-    and tells what is wrong with them.
+    Addresses that cannot be read or bound are skipped: the program later parses its settings in
+    full and reports what is wrong with them.
     """
     sockets: dict[str, socket.socket] = {}
     for address in _addresses(settings_path):
@@ -32,7 +33,7 @@
 
 
 def _addresses(settings_path: str) -> list[str]:
-    """Return the values of the options that name addresses for callers."""
+    """Return the values of the options that set listen addresses for callers."""
     found, section = [], ""
     try:
         with open(settings_path, encoding="utf-8") as file:
@@ -40,7 +41,7 @@
                 name, _, value = (part.strip() for part in line.partition("="))
                 if line.startswith("["):
                     section = line.strip()
-                elif section == SECTION and name in OPTIONS:
+                elif section == CALLERS_SECTION and name in LISTEN_OPTIONS:
                     found.append(value)
     except (OSError, UnicodeDecodeError):
         return []
--- a/src/yokedock/base/histograms.py
+++ b/src/yokedock/base/histograms.py
@@ -1,4 +1,4 @@
-"""HdrHistograms for each tenant and class, which can be merged over nodes."""
+"""HdrHistograms per tenant and request class, which can be merged across nodes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Measure(enum.StrEnum):
-    """What is measured. Times are in microseconds, prefill work in tokens."""
+    """The measured quantity. Times are in microseconds, prefill work in tokens."""
 
     FIRST_TOKEN_US = "first_token_us"
     BETWEEN_TOKENS_US = "between_tokens_us"
@@ -25,7 +25,7 @@
 
 
 class HistogramKey(msgspec.Struct, frozen=True):
-    """Which histogram: a measure of one tenant and class."""
+    """Identifies a histogram: one measure of one tenant and request class."""
 
     tenant: str
     request_class: str
@@ -33,14 +33,14 @@
 
 
 class EncodedHistogram(msgspec.Struct, frozen=True):
-    """A histogram in HdrHistogram's own compressed base64 form."""
+    """A histogram in HdrHistogram's compressed base64 encoding."""
 
     key: HistogramKey
     encoded: str
 
 
 class HistogramRow(msgspec.Struct, frozen=True):
-    """The summary of one histogram."""
+    """Summary statistics of one histogram."""
 
     tenant: str
     request_class: str
@@ -54,10 +54,10 @@
 
 
 class Histograms:
-    """All histograms of a process. Safe for use by several threads."""
+    """All histograms of a process; thread-safe."""
 
     def __init__(self) -> None:
-        """Start with no histogram: each is made on its first value."""
+        """Create an empty collection; recording the first value creates a histogram."""
         self._lock = threading.Lock()
         self._histograms: dict[HistogramKey, HdrHistogram] = {}
 
@@ -78,7 +78,7 @@
             histogram.record_value(min(max(int(value), LOWEST_US), HIGHEST_US), count)
 
     def encode(self) -> list[EncodedHistogram]:
-        """Return all histograms in a form that can be merged elsewhere."""
+        """Return all histograms, encoded for merging in another process."""
         with self._lock:
             return [
                 EncodedHistogram(key, histogram.encode().decode())
@@ -86,16 +86,16 @@
             ]
 
     def merge(self, encoded: list[EncodedHistogram]) -> None:
-        """Add histograms of another process."""
+        """Add the histograms of another process."""
         with self._lock:
             for item in encoded:
                 histogram = self._histograms.setdefault(item.key, _new_histogram())
                 histogram.decode_and_add(item.encoded)
 
     def rows(self) -> list[HistogramRow]:
-        """Return summaries, in order of tenant, class and measure."""
+        """Return the summaries, sorted by tenant, class and measure."""
         with self._lock:
-            rows = [_row(key, histogram) for key, histogram in self._histograms.items()]
+            rows = [_summarize(key, histogram) for key, histogram in self._histograms.items()]
         return sorted(rows, key=lambda row: (row.tenant, row.request_class, row.measure))
 
 
@@ -103,7 +103,7 @@
     return HdrHistogram(LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS)
 
 
-def _row(key: HistogramKey, histogram: HdrHistogram) -> HistogramRow:
+def _summarize(key: HistogramKey, histogram: HdrHistogram) -> HistogramRow:
     p50, p95, p99 = (float(histogram.get_value_at_percentile(p)) for p in PERCENTILES)
     count = histogram.get_total_count()
     return HistogramRow(
--- a/src/yokedock/base/logs.py
+++ b/src/yokedock/base/logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON object a line, through logbook."""
+"""Structured logging with logbook: one JSON object per line."""
 
 from __future__ import annotations
 
@@ -15,50 +15,50 @@
 
 
 class StructuredLogger:
-    """Logs an event with typed fields; fields named by ``bind`` stand on every line."""
+    """Logs events with typed fields; fields added by ``bind`` are part of every line."""
 
     def __init__(self, channel: str, bound: dict[str, Any] | None = None) -> None:
-        """Name the channel; ``bound`` fields stand on every line."""
+        """Create a logger for ``channel``; ``bound`` fields are part of every line."""
         self._logger = logbook.Logger(channel)
         self._channel = channel
-        self._bound = bound or {}
+        self._bound_fields = bound or {}
 
     def bind(self, **fields: Any) -> StructuredLogger:
         """Return a logger that adds ``fields`` to every line."""
-        return StructuredLogger(self._channel, {**self._bound, **fields})
+        return StructuredLogger(self._channel, {**self._bound_fields, **fields})
 
     def debug(self, event: str, **fields: Any) -> None:
-        """Log what only helps to follow one request."""
-        self._logger.debug(event, extra={**self._bound, **fields})
+        """Log a detail that only helps to trace a single request."""
+        self._logger.debug(event, extra={**self._bound_fields, **fields})
 
     def info(self, event: str, **fields: Any) -> None:
-        """Log a change of state that operators expect."""
-        self._logger.info(event, extra={**self._bound, **fields})
+        """Log a change of state that is part of normal operation."""
+        self._logger.info(event, extra={**self._bound_fields, **fields})
 
     def warning(self, event: str, **fields: Any) -> None:
-        """Log what went wrong and was handled."""
-        self._logger.warning(event, extra={**self._bound, **fields})
+        """Log a failure that was handled."""
+        self._logger.warning(event, extra={**self._bound_fields, **fields})
 
     def error(self, event: str, **fields: Any) -> None:
-        """Log what an operator must look at."""
-        self._logger.error(event, extra={**self._bound, **fields})
+        """Log a failure that needs an operator's attention."""
+        self._logger.error(event, extra={**self._bound_fields, **fields})
 
     def exception(self, event: str, **fields: Any) -> None:
-        """Log an error that nobody expected, with its traceback."""
-        self._logger.exception(event, extra={**self._bound, **fields})
+        """Log an unexpected exception with its traceback."""
+        self._logger.exception(event, extra={**self._bound_fields, **fields})
 
 
-LONGEST_PIECE_BYTES = 4096
-"""A pipe that reports room takes at least this much without blocking (PIPE_BUF on Linux)."""
-LONGEST_TRACEBACK = 3000
-"""Characters kept of a traceback, its end: the error and the calls next to it."""
+MAX_WRITE_BYTES = 4096
+"""A pipe that polls as writable accepts this much without blocking (PIPE_BUF on Linux)."""
+MAX_TRACEBACK_CHARS = 3000
+"""Characters kept from the end of a traceback, which has the error and the innermost calls."""
 
 
 class LineWriter:
-    """Writes whole lines to a descriptor and never waits for whoever reads them.
+    """Writes whole lines to a file descriptor without ever blocking on a slow reader.
 
-    A line that does not fit into a full pipe is refused; one that fits in part is kept and
-    finished first.
+    A line is rejected if the pipe is full. The rest of a partially written line is kept and written
+    before the next line.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -69,29 +69,29 @@
         self._pending = b""
 
     def write(self, line: bytes) -> bool:
-        """Write a line; return False if it was refused."""
+        """Write a line; return False if it was rejected."""
         if self._pending and not self._write_pending():
             return False
         self._pending = line
-        if not self._has_room():
+        if not self._is_writable():
             self._pending = b""
             return False
         self._write_pending()
         return True
 
     def _write_pending(self) -> bool:
-        """Write on at the line under way; return whether it is finished."""
-        while self._pending and self._has_room():
-            written = os.write(self._descriptor, self._pending[:LONGEST_PIECE_BYTES])
+        """Continue writing the pending line; return whether it is complete."""
+        while self._pending and self._is_writable():
+            written = os.write(self._descriptor, self._pending[:MAX_WRITE_BYTES])
             self._pending = self._pending[written:]
         return not self._pending
 
-    def _has_room(self) -> bool:
+    def _is_writable(self) -> bool:
         return any(events & select.POLLOUT for _, events in self._poll.poll(0))
 
 
 def json_line(record: Any) -> bytes:
-    """Return a record as one line of JSON: time, level, channel, event, then its fields."""
+    """Encode a record as one line of JSON: time, level, channel and event, then its fields."""
     line: dict[str, Any] = {
         "time": record.time.isoformat(timespec="milliseconds"),
         "level": record.level_name.lower(),
@@ -100,7 +100,7 @@
     }
     line.update(record.extra)
     if record.formatted_exception:
-        line["traceback"] = record.formatted_exception[-LONGEST_TRACEBACK:]
+        line["traceback"] = record.formatted_exception[-MAX_TRACEBACK_CHARS:]
     return msgspec.json.encode(line, enc_hook=str)
 
 
@@ -113,22 +113,22 @@
 
 
 class LineBudget:
-    """Bounds how many lines are written in a second, and counts what it drops."""
+    """Token bucket that limits the rate of log lines and counts the lines that it rejects."""
 
     def __init__(self, lines_per_s: float, clock: Callable[[], float] = boot_time_s) -> None:
-        """Allow ``lines_per_s`` in the mean, and as many at once."""
+        """Allow ``lines_per_s`` on average, and bursts of the same number of lines."""
         self._lines_per_s = lines_per_s
         self._clock = clock
         self._left = lines_per_s
-        self._filled_s = clock()
+        self._refilled_at_s = clock()
         self._dropped = 0
 
     def may_write(self) -> bool:
-        """Take one line from the budget; False, and counted, if none is left."""
+        """Take one line from the budget; return False and count the line if none is left."""
         now_s = self._clock()
-        gained = (now_s - self._filled_s) * self._lines_per_s
-        self._left = min(self._lines_per_s, self._left + gained)
-        self._filled_s = now_s
+        refill = (now_s - self._refilled_at_s) * self._lines_per_s
+        self._left = min(self._lines_per_s, self._left + refill)
+        self._refilled_at_s = now_s
         if self._left < 1:
             self._dropped += 1
             return False
@@ -136,15 +136,15 @@
         return True
 
     def take_dropped(self) -> int:
-        """Return how many lines were dropped since the last call."""
+        """Return the number of lines dropped since the last call."""
         dropped, self._dropped = self._dropped, 0
         return dropped
 
 
 class BoundedJsonLinesHandler(logbook.Handler):  # type: ignore[misc]
-    """Writes no more lines than its budgets allow, and never waits for whoever reads them.
+    """Writes JSON lines at a limited rate and never blocks on a slow reader.
 
-    Warnings and errors have a budget of their own, so that they are not crowded out.
+    Warnings and errors have a separate budget, so that ordinary lines cannot crowd them out.
     """
 
     def __init__(
@@ -154,22 +154,22 @@
         ordinary: LineBudget,
         urgent: LineBudget,
     ) -> None:
-        """``write`` takes a whole line, or returns False at once."""
+        """``write`` writes a whole line or returns False immediately."""
         super().__init__(level=level)
         self._write = write
-        self._ordinary = ordinary
-        self._urgent = urgent
+        self._ordinary_budget = ordinary
+        self._urgent_budget = urgent
         self._refused = 0
 
     def emit(self, record: Any) -> None:
-        """Write a record, or drop and count it; the next line that is written tells the count.
+        """Write a record, or drop and count it; the next written line reports the count.
 
-        Whatever fails here ends here: a log line must not harm the work that it describes.
+        Exceptions are suppressed here: a logging failure must not affect the work being logged.
         """
-        budget = self._urgent if record.level >= logbook.WARNING else self._ordinary
+        budget = self._urgent_budget if record.level >= logbook.WARNING else self._ordinary_budget
         if not budget.may_write():
             return
-        self._refused += self._ordinary.take_dropped() + self._urgent.take_dropped()
+        self._refused += self._ordinary_budget.take_dropped() + self._urgent_budget.take_dropped()
         try:
             if self._refused:
                 record.extra["lines_dropped"] = self._refused
@@ -180,15 +180,15 @@
 
 
 def logger(channel: str) -> StructuredLogger:
-    """Return the logger of a module."""
+    """Return a logger for ``channel``."""
     return StructuredLogger(channel)
 
 
 def set_up_logs(level: str, stream: TextIO | None = None, lines_per_s: float | None = None) -> None:
-    """Send all logs of the process as JSON lines to ``stream`` (default: standard error).
+    """Write all logs of the process as JSON lines to ``stream`` (default: standard error).
 
-    ``lines_per_s`` bounds the number of ordinary lines and that of warnings and errors; lines
-    beyond it, and those that a full pipe does not take, are dropped and counted.
+    ``lines_per_s`` limits ordinary lines, and separately warnings and errors. Lines beyond the
+    limit, and lines rejected by a full pipe, are dropped and counted.
     """
     target = stream or sys.stderr
     handler: logbook.Handler
--- a/src/yokedock/base/metrics.py
+++ b/src/yokedock/base/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings to statsd over UDP; nothing is sent where no address is set."""
+"""Sends metrics to StatsD over UDP; disabled if no address is set."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True)
 class MetricsSettings:
-    """Where metrics go."""
+    """The destination of metrics and the prefix of their names."""
 
-    statsd: str = option("address of statsd (UDP), IP:port; empty: none", "")
+    statsd: str = option("address of the StatsD server (UDP), IP:port; empty: metrics are off", "")
     prefix: str = option("prefix of all metric names", "yokedock")
 
 
 class Metrics:
-    """Sends metrics; never waits and never fails."""
+    """Sends metrics without blocking; sending errors are ignored."""
 
     def __init__(self, settings: MetricsSettings) -> None:
         """Open the UDP socket if an address is set."""
@@ -38,6 +38,6 @@
             self._client.timing(name, value)
 
     def gauge(self, name: str, value: float) -> None:
-        """Report a level."""
+        """Set a gauge."""
         if self._client is not None:
             self._client.gauge(name, value)
--- a/src/yokedock/base/options.py
+++ b/src/yokedock/base/options.py
@@ -1,7 +1,8 @@
-"""Options of INI files, declared once: type, default and help stand on the field.
+"""Declares and parses options of INI files: each field holds its type, default and help.
 
-A section is a frozen dataclass whose fields are made by ``option``. ``read_section`` turns INI
-text into the dataclass and collects every error with its remedy instead of stopping at the first.
+A section is a frozen dataclass whose fields are declared with ``option``. ``read_section`` converts
+INI text to the dataclass and collects all errors with their remedies instead of stopping at the
+first.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 Section = TypeVar("Section")
 _MISSING = dataclasses.MISSING
-_TRUE = frozenset({"yes", "true", "on", "1"})
-_FALSE = frozenset({"no", "false", "off", "0"})
+_TRUE_WORDS = frozenset({"yes", "true", "on", "1"})
+_FALSE_WORDS = frozenset({"no", "false", "off", "0"})
 
 
 @dataclasses.dataclass(frozen=True)
 class OptionSpec:
-    """What is declared about one option: its help and its check."""
+    """Metadata of one option: its help text and validator."""
 
     help: str
     check: Callable[[Any], str | None] | None
@@ -29,7 +30,7 @@
 def option(
     help: str, default: Any = _MISSING, check: Callable[[Any], str | None] | None = None
 ) -> Any:
-    """Declare an option. ``check`` returns the remedy when the value is wrong, else None."""
+    """Declare an option. ``check`` returns a remedy if the value is invalid, otherwise None."""
     metadata = {"spec": OptionSpec(help, check)}
     if default is _MISSING:
         return dataclasses.field(metadata=metadata)
@@ -37,7 +38,7 @@
 
 
 def one_of(*allowed: str) -> Callable[[Any], str | None]:
-    """Check that the value is one of ``allowed``."""
+    """Return a check that the value is one of ``allowed``."""
 
     def check(value: Any) -> str | None:
         return None if value in allowed else f"write one of: {', '.join(allowed)}"
@@ -46,7 +47,7 @@
 
 
 def between(lowest: float, highest: float) -> Callable[[Any], str | None]:
-    """Check that a number lies in a closed interval."""
+    """Return a check that a number is from ``lowest`` to ``highest``, both included."""
 
     def check(value: Any) -> str | None:
         return None if lowest <= value <= highest else f"write a number from {lowest} to {highest}"
@@ -55,45 +56,47 @@
 
 
 def address(value: Any) -> str | None:
-    """Check that the value is an IP address and a port."""
+    """Check that the value has the form of an IP address and a port."""
     host, _, port = str(value).rpartition(":")
     if not host or not port.isdigit() or int(port) > 65535:
-        return "write an IP number and a port, such as 127.0.0.1:7070"
+        return "write an IP address and a port, such as 127.0.0.1:7070"
     return None
 
 
 class Problems:
-    """All errors found in a file, each with the place and the remedy."""
+    """Collects the errors found in a file, each with its location and a remedy."""
 
     def __init__(self) -> None:
-        """Start with no problem."""
+        """Create an empty list of problems."""
         self.lines: list[str] = []
 
     def add(self, place: str, problem: str, remedy: str) -> None:
-        """Note one problem at ``place`` (section and option)."""
+        """Add a problem found at ``place`` (section and option)."""
         self.lines.append(f"{place}: {problem}; {remedy}")
 
     def text(self) -> str:
-        """Return all problems, one a line."""
+        """Return all problems, one per line."""
         return "\n".join(self.lines)
 
 
 def read_ini(path: Path, problems: Problems) -> configparser.ConfigParser:
-    """Read an INI file; a file that cannot be read or parsed is noted as a problem."""
+    """Parse an INI file; a failure to read or parse it is added to ``problems``."""
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     try:
         parser.read_string(path.read_text(encoding="utf-8"), source=str(path))
     except OSError as error:
-        problems.add(str(path), error.strerror or "cannot be read", "name a readable file")
+        problems.add(
+            str(path), error.strerror or "cannot be read", "give the path of a readable file"
+        )
     except (configparser.Error, UnicodeDecodeError) as error:
-        problems.add(str(path), " ".join(str(error).split()), "mend the INI syntax there")
+        problems.add(str(path), " ".join(str(error).split()), "correct the INI syntax there")
     return parser
 
 
 def read_section(
     kind: type[Section], name: str, values: Mapping[str, str], problems: Problems
 ) -> Section | None:
-    """Turn the text values of section ``name`` into ``kind``; None when anything was wrong."""
+    """Convert the text values of section ``name`` to ``kind``; None if any of them is invalid."""
     before = len(problems.lines)
     fields = {field.name: field for field in dataclasses.fields(kind)}  # type: ignore[arg-type]
     for unknown in sorted(set(values) - set(fields)):
@@ -119,12 +122,12 @@
 
 
 def _convert(kind: Any, text: str, place: str, problems: Problems) -> Any:
-    """Turn text into the declared type of the option; None when it is not of that type."""
+    """Convert text to the option's declared type; None if it is not valid for that type."""
     name = kind if isinstance(kind, str) else kind.__name__
     try:
         if name == "bool":
-            if text.lower() in _TRUE | _FALSE:
-                return text.lower() in _TRUE
+            if text.lower() in _TRUE_WORDS | _FALSE_WORDS:
+                return text.lower() in _TRUE_WORDS
             raise ValueError
         if name == "int":
             return int(text)
--- a/src/yokedock/base/randomness.py
+++ b/src/yokedock/base/randomness.py
@@ -1,6 +1,7 @@
-"""Creates the random number generators; each component has its own.
+"""Creates random number generators; each component has its own.
 
-After ``use_seed``, the seeds of all generators derive from one seed, in order of creation.
+After ``use_seed``, the seeds of all new generators are derived from one seed, in the order of
+creation.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 
 def new_random(seed: int | None = None) -> random.Random:
-    """Return a new generator, with ``seed`` if given; generators are not shared by components."""
+    """Return a new generator, seeded with ``seed`` if given, for one component."""
     if seed is not None:
         return random.Random(seed)
     if _seed_source is None:
--- a/src/yokedock/base/sockets.py
+++ b/src/yokedock/base/sockets.py
@@ -1,6 +1,6 @@
-"""Creates the sockets that a process opens itself, to backends and to other routers.
+"""Creates the sockets for connections to backends and for datagrams between routers.
 
-``use_socket_factory`` replaces how the whole process creates them, for simulations.
+``use_socket_factory`` replaces the factory of the whole process, for simulations.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 
 def use_socket_factory(factory: SocketFactory | None) -> None:
-    """Create all later sockets with ``factory``; None restores system sockets."""
+    """Create all later sockets with ``factory``; None restores the operating system's sockets."""
     global _factory
     _factory = factory or _system_socket
 
 
 def new_socket(kind: socket.SocketKind) -> socket.socket:
-    """Return a non-blocking socket; raises ``OSError`` if no file descriptor is left."""
+    """Return a non-blocking socket; raises ``OSError`` if no file descriptor is available."""
     created = _factory(kind)
     created.setblocking(False)
     return created
--- a/src/yokedock/base/telemetry.py
+++ b/src/yokedock/base/telemetry.py
@@ -1,4 +1,4 @@
-"""Keeps metrics and logs from harming the work that they describe."""
+"""Isolates request handling from failures in metrics and logging."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class TelemetryGuard:
-    """Runs pieces of telemetry; a failure is counted, and logged the first time for each kind."""
+    """Runs telemetry code; failures are counted, and the first of each kind is logged."""
 
     def __init__(self) -> None:
-        """Start with no failure."""
+        """Create a guard without failures."""
         self.failures: collections.Counter[str] = collections.Counter()
-        """Failures by the kind of work."""
+        """Number of failures by kind of telemetry."""
 
     def run(self, kind: str, work: Callable[[], None]) -> None:
-        """Run ``work``; whatever it raises ends here."""
+        """Run ``work`` and suppress its exceptions."""
         try:
             work()
         except Exception as error:
