--- a/src/yokedock/platform/__init__.py
+++ b/src/yokedock/platform/__init__.py
@@ -1,4 +1,5 @@
-"""The users' platform: its names, formats and calls, translated into the product's terms.
+"""Adapter for the users' platform: maps its names, formats and calls to the terms of the router.
 
-Nothing here decides; no other package knows these words.
+It makes no routing decisions, and no other package uses the platform's names
+(``tools/check_platform_words.py`` checks this).
 """
--- a/src/yokedock/platform/documents.py
+++ b/src/yokedock/platform/documents.py
@@ -1,4 +1,4 @@
-"""The documents in the platform's store, and their translation into routes and backends."""
+"""Schemas of the documents in the platform's store, and their conversion to routes and backends."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     WeightedTarget,
 )
 
-MS = 0.001
+SECONDS_PER_MS = 0.001
 REPEATABLE_KIND = "idempotent"
 ONCE_KIND = "non_idempotent"
 STREAM_KIND = "streaming"
@@ -28,20 +28,20 @@
     STREAM_KIND: RouteKind.STREAM,
 }
 DRAINING: Final = "draining"
-HIGHEST_PORT = 65_535
-MOST_ENTRY_BYTES = 65_536
-"""An engine's entry has some 250 bytes, with a hundred models and adapters some 10,000."""
+MAX_PORT = 65_535
+MAX_ENTRY_BYTES = 65_536
+"""An engine's entry has about 250 bytes, with a hundred models and adapters about 10,000."""
 
 
 class StoredTarget(msgspec.Struct, frozen=True):
-    """One service of a split route."""
+    """A target service of a route with split traffic."""
 
     service: str
     weight: float = 1.0
 
 
 class StoredRoute(msgspec.Struct, frozen=True, rename="camel"):
-    """A route as the operator writes it."""
+    """A route in the operator's configuration."""
 
     name: str
     host: str
@@ -58,7 +58,7 @@
 
 
 class StoredEngine(msgspec.Struct, frozen=True, rename="camel"):
-    """What the engines of a service have in common."""
+    """Properties shared by all engines of a service."""
 
     slot_count: int
     kv_capacity: int
@@ -71,7 +71,7 @@
 
 
 class StoredService(msgspec.Struct, frozen=True, rename="camel"):
-    """A service as the operator writes it."""
+    """A service in the operator's configuration."""
 
     name: str
     health_path: str = "/health"
@@ -80,7 +80,7 @@
 
 
 class StoredLimits(msgspec.Struct, frozen=True, rename="camel"):
-    """Limits for callers."""
+    """Size and time limits for callers."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 4_194_304
@@ -89,7 +89,7 @@
 
 
 class StoredConfiguration(msgspec.Struct, frozen=True):
-    """The operator's configuration, whole."""
+    """The operator's complete configuration."""
 
     version: int
     routes: tuple[StoredRoute, ...] = ()
@@ -98,23 +98,23 @@
 
 
 Name = Annotated[str, msgspec.Meta(min_length=1, max_length=200)]
-"""A key of the store has at most 200 bytes, and a service is named by one."""
+"""Keys of the store have at most 200 bytes, and a service name is used as a key."""
 StoredState = Literal["ready", "draining"]
 Stage = Literal["", "prefill", "decode"]
 Count = Annotated[int, msgspec.Meta(ge=0)]
 SlotCount = Annotated[int, msgspec.Meta(ge=1, le=100_000)]
-"""More slots than any engine has connections: whoever says so is none."""
+"""The upper bound is above the number of connections of any engine; larger values are invalid."""
 
 
 class StoredModel(msgspec.Struct, frozen=True):
-    """A model that an engine holds."""
+    """A model loaded on an engine."""
 
     name: str
     version: int = 0
 
 
 class StoredServer(msgspec.Struct, frozen=True, rename="camel"):
-    """The entry of one engine or application server, as these write it: nothing is left out."""
+    """The entry of one engine or application server; servers always write all required fields."""
 
     service: Name
     address: Name
@@ -127,11 +127,11 @@
     stage: Stage = ""
     models: tuple[StoredModel, ...] = ()
     born: Count = 0
-    """Unix millisecond of its start, 0 if it does not say."""
+    """Start time of the server as Unix time in milliseconds, 0 if it does not report one."""
 
 
 def route_table(document: bytes) -> RouteTable:
-    """Translate the operator's configuration; raises ``msgspec.MsgspecError`` if it is none."""
+    """Convert the operator's configuration; raises ``msgspec.MsgspecError`` if it is invalid."""
     stored = msgspec.json.decode(document, type=StoredConfiguration)
     limits = stored.limits
     return RouteTable(
@@ -141,16 +141,16 @@
         CallerLimits(
             limits.max_header_bytes,
             limits.max_body_bytes,
-            limits.header_timeout_ms * MS,
-            limits.idle_timeout_ms * MS,
+            limits.header_timeout_ms * SECONDS_PER_MS,
+            limits.idle_timeout_ms * SECONDS_PER_MS,
         ),
     )
 
 
 def backend_entry(instance: str, document: bytes, revision: int = 0) -> BackendEntry:
-    """Translate a server's entry; raises ``ValueError`` if it is none, naming field and reason."""
-    if len(document) > MOST_ENTRY_BYTES:
-        raise ValueError(f"{len(document)} bytes, an entry has at most {MOST_ENTRY_BYTES}")
+    """Convert a server's entry; raises ``ValueError`` with field and reason if it is invalid."""
+    if len(document) > MAX_ENTRY_BYTES:
+        raise ValueError(f"the entry has {len(document)} bytes, the maximum is {MAX_ENTRY_BYTES}")
     stored = msgspec.json.decode(document, type=StoredServer)
     _check_address(stored.address)
     return BackendEntry(
@@ -167,12 +167,12 @@
 
 
 def _check_address(address: str) -> None:
-    """Raise ``ValueError`` unless an address is an IPv4 number and a port that can be reached."""
+    """Raise ``ValueError`` unless ``address`` is an IPv4 address with a port from 1 to 65535."""
     host, _, port = address.rpartition(":")
     ipaddress.IPv4Address(host)
-    is_number = port.isascii() and port.isdigit()
-    if not is_number or not 0 < int(port) <= HIGHEST_PORT:
-        raise ValueError(f"$.address: {port!r} is no port")
+    is_numeric = port.isascii() and port.isdigit()
+    if not is_numeric or not 0 < int(port) <= MAX_PORT:
+        raise ValueError(f"$.address: {port!r} is not a valid port")
 
 
 def _route(stored: StoredRoute) -> Route:
@@ -184,13 +184,13 @@
         host=stored.host,
         prefix=stored.path_prefix,
         kind=_KINDS.get(stored.route_type, RouteKind.ONCE),
-        timeout_s=stored.timeout_ms * MS,
-        target_s=stored.target_latency_ms * MS,
+        timeout_s=stored.timeout_ms * SECONDS_PER_MS,
+        target_s=stored.target_latency_ms * SECONDS_PER_MS,
         targets=targets,
         priority=stored.priority,
         max_attempts=stored.max_attempts,
         resumable=stored.resumable,
-        gap_target_s=stored.itl_target_ms * MS,
+        gap_target_s=stored.itl_target_ms * SECONDS_PER_MS,
     )
 
 
@@ -206,6 +206,6 @@
             tokens_per_event=engine.stride,
             handle_s=engine.kv_hold_s,
             switch_s=engine.stage_switch_s,
-            longest_hold_s=engine.hold_ms * MS,
+            longest_hold_s=engine.hold_ms * SECONDS_PER_MS,
         )
     return ServiceSpec(stored.name, stored.health_path, stored.max_connections, traits)
--- a/src/yokedock/platform/headers.py
+++ b/src/yokedock/platform/headers.py
@@ -1,4 +1,4 @@
-"""Names of the platform's headers."""
+"""The platform's names of headers, paths and message fields."""
 
 from __future__ import annotations
 
--- a/src/yokedock/platform/main.py
+++ b/src/yokedock/platform/main.py
@@ -1,4 +1,4 @@
-"""Starts a router on the platform: where the settings lie, the store and the names of headers."""
+"""Starts a router with the platform's settings file, metadata store and header names."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 
 def main(sockets: dict[str, socket.socket]) -> None:
-    """Run a router with the settings that the platform filled in.
+    """Run a router with the settings file that the platform provides.
 
-    ``sockets`` listen already, by address.
+    ``sockets`` are already listening, keyed by address.
     """
     settings = read_router_settings(Path(os.environ[SETTINGS_VARIABLE]))
     source = PlatformStore(settings.state.source)
--- a/src/yokedock/platform/settings_variable.py
+++ b/src/yokedock/platform/settings_variable.py
@@ -1,3 +1,3 @@
-"""Where the platform tells a process the path of its settings."""
+"""The environment variable in which the platform passes the path of the settings file."""
 
 SETTINGS_VARIABLE = "YOKEDOCK_SETTINGS"
--- a/src/yokedock/platform/store.py
+++ b/src/yokedock/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: its reading calls, as a source of routes and backends."""
+"""Client of the platform's metadata store: reads routes and backends and watches for changes."""
 
 from __future__ import annotations
 
@@ -34,29 +34,30 @@
 WAIT_FIELD = "waitMs"
 ERA_HEADER = b"store-era"
 Document = TypeVar("Document")
-EVERYTHING = ""
+ALL_KEYS = ""
 OK = 200
 MS_A_SECOND = 1000
 HISTORY_GONE = 410
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 1.0
 WATCH_SLACK_S = 0.4
-"""An answer may come so much later than the watch was to end."""
-MOST_CHANGES = 1.5
-"""Changes may have this many times the bytes of everything read at once: a watch from far behind
-brings every version since, each whole, and all but the newest are of no use."""
+"""Allowed delay of a response after the time at which the watch ends."""
+MAX_CHANGES_RATIO = 1.5
+"""Maximum size of a watch response, as a multiple of the last full read. A watch that starts far
+behind returns every later version in full, and only the newest of each item is of use."""
 MOST_DIGITS = 18
-"""Decimal digits of the longest era that is accepted: it fits 64 bits."""
-MOST_LOGGED = 1_000
-"""Items that are remembered as logged, 150 kB; more are a flood."""
-MOST_REASON = 200
-"""Characters of a reason in the log."""
-ALWAYS_READ_BYTES = 65_536
-"""Changes up to this size are always read: 0.1 s on a link of 5 Mbit/s."""
+"""Maximum number of decimal digits of an era, so that it fits into 64 bits."""
+MAX_LOGGED_ITEMS = 1_000
+"""Maximum number of items remembered as already logged (150 kB). More invalid items than this are a
+flood, of which only the latest are remembered."""
+MAX_LOGGED_CHARS = 200
+"""Maximum number of characters of a reason or era in the log."""
+MIN_CHANGES_LIMIT_BYTES = 65_536
+"""Lower bound of the size limit for watch responses; takes 0.1 s on a link of 5 Mbit/s."""
 
 
 class StoredItem(msgspec.Struct, frozen=True):
-    """One item, or that it is gone."""
+    """One item, or the notice that it was deleted."""
 
     key: str = msgspec.field(name="privateKey")
     value: str = ""
@@ -65,7 +66,7 @@
 
 
 class RangePage(msgspec.Struct, frozen=True):
-    """One page of items."""
+    """One page of a range read."""
 
     items: tuple[StoredItem, ...] = ()
     more: bool = False
@@ -73,35 +74,35 @@
 
 
 class WatchAnswer(msgspec.Struct, frozen=True):
-    """What has changed."""
+    """The changes returned by a watch."""
 
     events: tuple[StoredItem, ...] = ()
     at: int = 0
 
 
 class PlatformStore(StateSource):
-    """Reads ``op/config`` and ``servers/`` from the store."""
+    """Reads the configuration ``op/config`` and the backends under ``servers/`` from the store."""
 
     is_shared = True
 
     def __init__(self, address: str) -> None:
-        """Read from ``address`` (IP:port)."""
+        """Create a client of the store at ``address`` (IP:port)."""
         self._getter = HttpGetter(address, CONNECT_TIMEOUT_S)
         self._logged: dict[str, int] = {}
-        """Revisions of items that were not understood, by key: each is logged once."""
-        self._whole_bytes = 0
-        """Size of the newest whole read."""
+        """Revisions of items that could not be decoded, by key, so that each is logged once."""
+        self._full_read_bytes = 0
+        """Size of the latest full read."""
         self._last_era = ""
-        """Value of the Store-Era header in the latest answer, empty if it was absent."""
+        """Value of the Store-Era header in the latest response, empty if it was absent."""
 
     async def read(self) -> StateSnapshot:
-        """Return the newest configuration and all servers."""
+        """Read and return the current configuration and all servers."""
         items: dict[str, StoredItem] = {}
         position: SourcePosition | None = None
         size = 0
         after = ""
         while True:
-            target = f"{RANGE_PATH}?pathPrefix={EVERYTHING}"
+            target = f"{RANGE_PATH}?pathPrefix={ALL_KEYS}"
             if after:
                 target += f"&after={quote(after, safe='')}"
             answer = await self._getter.get(target, READ_TIMEOUT_S)
@@ -118,21 +119,23 @@
             if not page.more or not page.items:
                 break
             after = page.items[-1].key
-        self._whole_bytes = size
+        self._full_read_bytes = size
         changes = translate(tuple(items.values()), position, self.is_news)
         backends = {entry.instance: entry for entry in changes.changed}
         return StateSnapshot(position, changes.table, backends, changes.undecoded)
 
     async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
-        """Return what has changed after ``position``, or nothing after ``longest_s``."""
+        """Return the changes after ``position``, or none if there are none within ``longest_s``."""
         wait_ms = round(longest_s * MS_A_SECOND)
-        target = f"{WATCH_PATH}?pathPrefix={EVERYTHING}&after={position.revision}"
+        target = f"{WATCH_PATH}?pathPrefix={ALL_KEYS}&after={position.revision}"
         target += f"&{WAIT_FIELD}={wait_ms}"
-        most_bytes = max(ALWAYS_READ_BYTES, round(MOST_CHANGES * self._whole_bytes))
+        most_bytes = max(MIN_CHANGES_LIMIT_BYTES, round(MAX_CHANGES_RATIO * self._full_read_bytes))
         try:
             answer = await self._getter.get(target, longest_s + WATCH_SLACK_S, most_bytes)
         except AnswerTooLong as error:
-            raise HistoryGone(f"all at once is less than what has changed: {error}") from None
+            raise HistoryGone(
+                f"the changes are over the size limit; a full read is smaller: {error}"
+            ) from None
         era = self._reported_era(answer)
         if answer.status == HISTORY_GONE:
             raise HistoryGone(f"the store has no changes after revision {position.revision}")
@@ -140,39 +143,41 @@
         return translate(watched.events, SourcePosition(era, watched.at), self.is_news)
 
     def _reported_era(self, answer: ShortAnswer) -> int:
-        """Return the era of an answer, ``NO_ERA`` if absent or malformed; log when it changes."""
+        """Return the era of a response, ``NO_ERA`` if absent or malformed; log any change."""
         era = answer.head.get(ERA_HEADER) or ""
         if era != self._last_era:
             _log.info(
-                "store era changed", era=era[:MOST_REASON], before=self._last_era[:MOST_REASON]
+                "store era changed",
+                era=era[:MAX_LOGGED_CHARS],
+                before=self._last_era[:MAX_LOGGED_CHARS],
             )
             self._last_era = era
         return int(era) if era.isascii() and era.isdecimal() and len(era) <= MOST_DIGITS else NO_ERA
 
     def is_news(self, item: StoredItem) -> bool:
-        """Return whether an item that is not understood was not told of yet."""
+        """Return whether this revision of an undecodable item is new, and remember it as logged."""
         is_new = self._logged.pop(item.key, None) != item.revision
         self._logged[item.key] = item.revision
-        if len(self._logged) > MOST_LOGGED:
+        if len(self._logged) > MAX_LOGGED_ITEMS:
             del self._logged[next(iter(self._logged))]
         return is_new
 
     def size(self) -> int:
-        """Return how many items are remembered as not understood."""
+        """Return the number of undecodable items that are remembered."""
         return len(self._logged)
 
     def share_read(self) -> float:
-        """Return how much of the answer under way has come."""
+        """Return the received fraction of the current response."""
         return self._getter.share_read()
 
 
 def _decode(answer: ShortAnswer, kind: type[Document]) -> Document:
     if answer.status != OK:
-        raise PlatformUnavailable(f"the store answered {answer.status}")
+        raise PlatformUnavailable(f"the store responded with status {answer.status}")
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as error:
-        raise PlatformUnavailable(f"the store's answer is not understood: {error}") from None
+        raise PlatformUnavailable(f"the store's response cannot be decoded: {error}") from None
 
 
 def translate(
@@ -180,23 +185,24 @@
     position: SourcePosition,
     is_news: Callable[[StoredItem], bool] = lambda item: True,
 ) -> StateChanges:
-    """Turn items into changes; an item that is not understood is counted, and logged if news.
+    """Convert items to changes; undecodable items are listed, and logged if ``is_news`` is true.
 
-    Such an entry names no backend: whoever stood there is gone. Such a table changes nothing.
+    An undecodable server entry removes the backend of that name; an undecodable configuration
+    leaves the route table unchanged.
     """
     table: RouteTable | None = None
     undecoded: list[str] = []
     last: dict[str, BackendEntry | None] = {}
     for item in items:
         if item.key == CONFIGURATION_KEY and not item.gone:
-            decoded = _decoded(route_table, item, is_news)
+            decoded = _decode_item(route_table, item, is_news)
             if decoded is None:
                 undecoded.append(CONFIGURATION_KEY)
             table = decoded or table
         elif item.key.startswith(SERVERS_PREFIX):
             instance = item.key[len(SERVERS_PREFIX) :]
             read = functools.partial(backend_entry, instance, revision=item.revision)
-            entry = None if item.gone else _decoded(read, item, is_news)
+            entry = None if item.gone else _decode_item(read, item, is_news)
             last[instance] = entry
             if entry is None and not item.gone:
                 undecoded.append(instance)
@@ -205,14 +211,14 @@
     return StateChanges(position, table, changed, gone, tuple(undecoded))
 
 
-def _decoded(
+def _decode_item(
     read: Callable[[bytes], Document], item: StoredItem, is_news: Callable[[StoredItem], bool]
 ) -> Document | None:
-    """Return what an item says, None if that is not understood."""
+    """Return the decoded value of an item, None if it cannot be decoded."""
     try:
         return read(base64.b64decode(item.value, validate=True))
     except (ValueError, RecursionError) as error:
         if is_news(item):
-            reason = str(error)[:MOST_REASON]
+            reason = str(error)[:MAX_LOGGED_CHARS]
             _log.warning("not understood", key=item.key, revision=item.revision, reason=reason)
         return None
