--- a/src/yokedock/request/backend_exchange.py
+++ b/src/yokedock/request/backend_exchange.py
@@ -31,10 +31,10 @@
 _log = logger("exchange")
 
 CONNECT_TIMEOUT_S = 0.15
-SHORT_REST_S = 0.8
+MAX_IDLE_NOT_REPEATABLE_S = 0.8
 """What may not be repeated uses only connections that rested for less: fewer are closed by then."""
-MAX_WHOLE_ANSWER_BYTES = 16_777_216
-FIRST_REDIRECT = 300
+MAX_BUFFERED_RESPONSE_BYTES = 16_777_216
+MIN_REDIRECT_STATUS = 300
 SERVER_ERROR = 500
 SILENT_S = 1.0
 """A backend that says nothing for this long is avoided for a while."""
@@ -55,9 +55,9 @@
         self.backend = backend
         self.is_whole = False
         self.is_sent = False
-        self.on_quiet: Callable[[], None] = lambda: None
+        self.on_silence: Callable[[], None] = lambda: None
         """Called when ``suspect_after`` says so."""
-        self._quiet_check: asyncio.TimerHandle | None = None
+        self._silence_timer: asyncio.TimerHandle | None = None
         self._connection = connection
         self._dialect = dialect
         self._call = call
@@ -89,15 +89,15 @@
         """
         due_s = quiet_s - (boot_time_s() - self._connection.awaited_since_s())
         if due_s <= 0:
-            self.on_quiet()
+            self.on_silence()
             return
         loop = asyncio.get_running_loop()
-        self._quiet_check = loop.call_later(due_s, self.suspect_after, quiet_s)
+        self._silence_timer = loop.call_later(due_s, self.suspect_after, quiet_s)
 
     def close(self) -> None:
         """End watching for silence."""
-        if self._quiet_check is not None:
-            self._quiet_check.cancel()
+        if self._silence_timer is not None:
+            self._silence_timer.cancel()
 
     async def read_head(self, timeout_s: float) -> AnswerHead:
         """Return the head of the answer.
@@ -107,7 +107,7 @@
         """
         try:
             async with Patience(timeout_s):
-                head = await self._connection.read_head(self._is_ours)
+                head = await self._connection.read_head(self._matches_request)
         except TimeoutError:
             if timeout_s >= SILENT_S:
                 self.backend.health.note_silence(boot_time_s())
@@ -117,7 +117,7 @@
         assert notes is not None
         self.backend.load = notes.load or self.backend.load
         if notes.is_elsewhere:
-            self.backend.note_gone(boot_time_s())
+            self.backend.record_gone(boot_time_s())
         self._poison.note_alive(self.backend.life, self._sent_s)
         if notes.is_not_run:
             raise BackendRefused(f"{self.backend.name} refused it with {head.status}")
@@ -139,7 +139,7 @@
         parts = []
         try:
             async with Patience(min(patience_s, self._call.left_s())) as time_limit:
-                async for part in self._connection.body_parts(MAX_WHOLE_ANSWER_BYTES):
+                async for part in self._connection.body_parts(MAX_BUFFERED_RESPONSE_BYTES):
                     parts.append(part)
                     time_limit.reschedule(min(clock() + patience_s, deadline_s))
         except TimeoutError:
@@ -159,20 +159,20 @@
         if self._poison.is_known() and not is_failure and not self._is_prefill:
             self._poison.note_sound(self._call.digest)
 
-    def note_closed(self) -> None:
+    def record_closed(self) -> None:
         """Note that the backend closed while it had the request, unless it is leaving anyway."""
         if self.is_sent and not self.backend.is_ending:
-            had_it_s = boot_time_s() - self._sent_s
-            self._poison.note_end(self._call.digest, self.backend.life, had_it_s)
+            since_sent_s = boot_time_s() - self._sent_s
+            self._poison.note_end(self._call.digest, self.backend.life, since_sent_s)
 
     def _check_origin(self, head: AnswerHead, notes: AnswerNotes) -> None:
         """Raise unless the answer names the request and a success carries a signature."""
         if notes.request_id is None:
             raise BackendBroken(f"{self.backend.name}: the answer names no request")
-        if head.status < FIRST_REDIRECT and not notes.is_signed:
+        if head.status < MIN_REDIRECT_STATUS and not notes.is_signed:
             raise BackendBroken(f"{self.backend.name}: the answer is not signed")
 
-    def _is_ours(self, head: AnswerHead) -> bool:
+    def _matches_request(self, head: AnswerHead) -> bool:
         """Tell our answer from one to an earlier request on the same connection.
 
         What the backend says of itself holds whichever request it answers.
@@ -220,13 +220,13 @@
         if backend.has_ended:
             raise BackendUnreachable(f"{backend.name} has ended: {backend.entry.instance} is new")
         if self._poison.is_known():
-            self._poison.require_sound(call.digest)
+            self._poison.require_not_quarantined(call.digest)
         backend.require_willing(boot_time_s())
         if backend.outstanding >= self._shares.most(call.service):
             raise BackendUnwilling(f"all connections to {backend.name} are in use")
         if not has_permit:
             backend.take_permit(boot_time_s())
-        rest_s = LONGEST_REST_S if call.route.may_repeat else SHORT_REST_S
+        rest_s = LONGEST_REST_S if call.route.may_repeat else MAX_IDLE_NOT_REPEATABLE_S
         timeout_s = min(CONNECT_TIMEOUT_S, call.left_s())
         with call.visit(backend.name, backend.entry.zone, backend.entry.role) as visit:
             async with self._exchange(backend, call, timeout_s, rest_s) as exchange:
@@ -250,7 +250,7 @@
             # Whoever connects has its place already: others choose meanwhile.
             backend.outstanding -= 1
         exchange = BackendExchange(connection, self.dialect, backend, call, self._poison)
-        exchange.on_quiet = lambda: self._suspect_quiet(connection, call)
+        exchange.on_silence = lambda: self._drop_silent_connections(connection, call)
         backend.outstanding += 1
         backend.connections.add(connection)
         try:
@@ -270,9 +270,9 @@
                 reason=error.message,
             )
             if isinstance(error, BackendClosed):
-                exchange.note_closed()
+                exchange.record_closed()
             if isinstance(error, BackendSilent):
-                self._suspect_quiet(connection, call)
+                self._drop_silent_connections(connection, call)
             backend.health.note_broken(boot_time_s())
             raise
         finally:
@@ -285,7 +285,7 @@
             else:
                 connection.abort()
 
-    def _suspect_quiet(self, connection: BackendConnection, call: RoutedCall) -> None:
+    def _drop_silent_connections(self, connection: BackendConnection, call: RoutedCall) -> None:
         """Drop the connections that may have gone silent with this one, and repeat on no such one.
 
         Whatever brought something in the later half of the wait has outlived the silence.
--- a/src/yokedock/request/backend_limits.py
+++ b/src/yokedock/request/backend_limits.py
@@ -51,16 +51,16 @@
         if limit_per_s is None and self.rate is None:
             return
         if self._known(now_s).note_answer(limit_per_s, sent_s, now_s):
-            self._note_change("answer")
+            self._log_change("answer")
             self._limits.on_change()
 
     def heard(self, router: str, told: LimitShare, now_s: float, told_s: float) -> None:
         """Take in what another router told at ``told_s`` (boot time)."""
-        is_old = told_s - told.age_ms / MS_A_SECOND <= self._ended_s
-        if self.rate is None and (told.per_s < 0 or is_old):
+        is_stale = told_s - told.age_ms / MS_A_SECOND <= self._ended_s
+        if self.rate is None and (told.per_s < 0 or is_stale):
             return
         if self._known(now_s).heard(router, told, now_s, told_s):
-            self._note_change(router)
+            self._log_change(router)
 
     def wait_s(self, now_s: float) -> float:
         """Return after what time a request may be sent, 0 if now."""
@@ -86,7 +86,7 @@
         waiting = self._limits.waiting(self._service)
         return self.rate.share(now_s, waiting.count, waiting.since_s)
 
-    def drop_if_over(self, now_s: float) -> None:
+    def discard_if_ended(self, now_s: float) -> None:
         """Forget a limit that has ended, once all were told."""
         if self.rate is not None and self.rate.is_over(now_s):
             self._ended_s = self.rate.heard_s
@@ -97,7 +97,7 @@
             self.rate = SharedRate(self._limits.own_address, now_s)
         return self.rate
 
-    def _note_change(self, source: str) -> None:
+    def _log_change(self, source: str) -> None:
         _log.info(
             "backend names its limit", backend=self._name, limit_per_s=self.per_s, source=source
         )
@@ -114,13 +114,13 @@
         """Called when the other routers should hear of a change here."""
         self._waiting: dict[str, WaitingRequests] = {}
 
-    def limit_of(self, name: str, service: str) -> BackendLimit:
+    def new_limit(self, name: str, service: str) -> BackendLimit:
         """Return what is to be known of a new life of a backend."""
         return BackendLimit(self, name, service)
 
     def waiting(self, service: str) -> WaitingRequests:
         """Return what waits here for the backends of a service."""
-        return self._waiting.get(service, NOTHING_WAITS)
+        return self._waiting.get(service, NO_WAITING_REQUESTS)
 
     def note_waiting(self, service: str, count: int, since_s: float) -> None:
         """Note how many requests wait here, and since when (boot time) the first of them does."""
@@ -130,7 +130,7 @@
             self._waiting.pop(service, None)
 
 
-NOTHING_WAITS = WaitingRequests()
+NO_WAITING_REQUESTS = WaitingRequests()
 
 
 def granted_per_s(limits: Iterable[BackendLimit]) -> float | None:
--- a/src/yokedock/request/backend_list.py
+++ b/src/yokedock/request/backend_list.py
@@ -13,7 +13,7 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.connection.state_source import BackendEntry
-from yokedock.request.backend_life import Backend, life_name
+from yokedock.request.backend_life import Backend, incarnation_name
 from yokedock.request.backend_limits import BackendLimits
 from yokedock.request.backend_notices import SAID_KEPT_S
 from yokedock.request.list_restoration import NOTHING_APPLIED, AppliedHistory, ListRestoration
@@ -70,7 +70,7 @@
         listed = {instance for instance, backend in self._newest.items() if backend.is_listed}
         self._restoration.begin(listed, entries, now_s)
         for entry in entries.values():
-            name = self._life_name_of(entry)
+            name = self._incarnation_name_of(entry)
             if entry.instance not in listed and applied.contains(entry):
                 self._restoration.record_withdrawal(name, False, entry.revision, now_s)
             self._restoration.hold(name, now_s)
@@ -80,7 +80,7 @@
         """Take over changes that were written to the source."""
         now_s = self._clock()
         for entry in changed:
-            self._restoration.release(self._life_name_of(entry))
+            self._restoration.release(self._incarnation_name_of(entry))
             self._put(entry, now_s)
         self._remove(gone, now_s)
 
@@ -91,7 +91,7 @@
         held = (self._backends.get(name) for name in self._restoration.pop_confirmed(now_s))
         confirmed = [backend for backend in held if backend is not None and backend.is_listed]
         for backend in confirmed:
-            backend.note_listed()
+            backend.record_listed()
         if expired or confirmed:
             names = [backend.name for backend in confirmed]
             _log.info("restored list reconciled", gone=expired, back=names)
@@ -102,12 +102,12 @@
         self.apply_restoration_timeouts()
         now_s = self._clock()
         for name, backend in list(self._backends.items()):
-            backend.limit.drop_if_over(now_s)
-            has_said = not backend.has_ended and backend.notices.matter(now_s)
-            oldest_s = now_s - (SAID_KEPT_S if has_said else GONE_KEPT_S)
+            backend.limit.discard_if_ended(now_s)
+            has_active_notices = not backend.has_ended and backend.notices.matter(now_s)
+            oldest_s = now_s - (SAID_KEPT_S if has_active_notices else GONE_KEPT_S)
             since_s = backend.unlisted_since_s
-            is_long_gone = not backend.is_listed and since_s is not None and since_s < oldest_s
-            if is_long_gone and not backend.outstanding:
+            is_expired = not backend.is_listed and since_s is not None and since_s < oldest_s
+            if is_expired and not backend.outstanding:
                 del self._backends[name]
                 self._members = None
                 if self._newest.get(backend.entry.instance) is backend:
@@ -163,13 +163,13 @@
                 continue
             self._restoration.record_withdrawal(backend.name, False, backend.entry.revision, now_s)
             backend.is_listed = False
-            backend.note_unlisted(now_s)
+            backend.record_unlisted(now_s)
         self.on_change()
 
-    def _life_name_of(self, entry: BackendEntry) -> str:
+    def _incarnation_name_of(self, entry: BackendEntry) -> str:
         """Return the name of an entry's life: the newest known if the entry has no start time."""
         newest = self._newest.get(entry.instance)
-        return newest.name if newest is not None and not entry.born_ms else life_name(entry)
+        return newest.name if newest is not None and not entry.born_ms else incarnation_name(entry)
 
     def _put(self, entry: BackendEntry, now_s: float) -> None:
         before = self._newest.get(entry.instance)
@@ -190,14 +190,14 @@
         else:
             self._restoration.clear_withdrawal(backend.name)
             backend.entry = entry
-            backend.note_listed()
+            backend.record_listed()
             return
         backend.entry = entry
         backend.is_listed = True
         if not is_known:
             # Since when is not known: it may have been leaving for longer than it may be used.
-            backend.note_gone(now_s)
-        backend.note_unlisted(now_s)
+            backend.record_gone(now_s)
+        backend.record_unlisted(now_s)
 
     def _begin(self, entry: BackendEntry, before: Backend | None, now_s: float) -> Backend:
         """Begin a new life; of the one before nothing is kept but how soon it ended."""
@@ -206,7 +206,7 @@
         if before is not None:
             backend.succeed(before)
             before.is_listed = False
-            before.note_gone(now_s)
+            before.record_gone(now_s)
             before.end(entry.born_ms)
             _log.info(
                 "backend started anew",
--- a/src/yokedock/request/backend_registry.py
+++ b/src/yokedock/request/backend_registry.py
@@ -16,13 +16,13 @@
 from yokedock.request.backend_list import BackendList
 from yokedock.request.service_supply import ServiceSupply
 
-FAILURE_COST = 8.0
+FAILURE_COST_FACTOR = 8.0
 DEFAULT_LATENCY_S = 0.1
-JITTER = 0.05
-OTHER_ZONE_COST = 1.05
-PATIENCE = 6.0
+COST_JITTER = 0.05
+REMOTE_ZONE_COST_FACTOR = 1.05
+SILENCE_TIMEOUT_FACTOR = 6.0
 """Times the expected latency after which another backend is asked; some work is that slow."""
-LEAST_PATIENCE_S = 0.3
+MIN_SILENCE_TIMEOUT_S = 0.3
 """Shorter silences happen on every machine: two of its processor quotas and a lost packet."""
 
 
@@ -97,11 +97,11 @@
         now_s = self._clock()
         share = self.connection_share(service)
         found = self.members(service, role)
-        return _soundest([b for b in found if b.outstanding < share and b.may_take(now_s)], now_s)
+        return _healthiest([b for b in found if b.outstanding < share and b.may_take(now_s)], now_s)
 
     def present(self, service: str) -> list[Backend]:
         """Return the backends of a service that may be used now or after their rest."""
-        return _soundest(self.members(service, None), self._clock())
+        return _healthiest(self.members(service, None), self._clock())
 
     def rest_left_s(self, service: str, role: str | None = None) -> float:
         """Return the seconds until a backend may be used where all rest or have no permit left.
@@ -112,7 +112,7 @@
             return 0.0
         now_s = self._clock()
         staying = [b for b in self.members(service, role) if b.leaving_since_s is None]
-        return min((b.free_in_s(now_s) for b in staying), default=0.0)
+        return min((b.available_in_s(now_s) for b in staying), default=0.0)
 
     def freed_per_s(self, service: str) -> float:
         """Return how many connections come free in a second where all are in use, else 0."""
@@ -152,7 +152,7 @@
         """Return the time after which a backend's silence says that no answer will come."""
         typical_s = self.typical_latency_s(backend.entry.service)
         expected_s = backend.health.expected_latency_s(self._clock(), typical_s)
-        return max(LEAST_PATIENCE_S, PATIENCE * expected_s)
+        return max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_FACTOR * expected_s)
 
     def _cost(self, backend: Backend, typical_s: float) -> float:
         now_s = self._clock()
@@ -161,15 +161,15 @@
         if backend.load is not None:
             queued = max(queued, backend.load.waiting + backend.load.running)
         rounds = max(1.0, (queued + 1) / max(1, backend.entry.slots))
-        crowding = 1.0 + 0.3 * queued / max(1, backend.entry.slots)
-        cost = health.expected_latency_s(now_s, typical_s) * rounds * crowding
-        cost *= 1.0 + FAILURE_COST * health.failure_share(now_s)
+        contention = 1.0 + 0.3 * queued / max(1, backend.entry.slots)
+        cost = health.expected_latency_s(now_s, typical_s) * rounds * contention
+        cost *= 1.0 + FAILURE_COST_FACTOR * health.failure_share(now_s)
         if backend.entry.zone != self._zone:
-            cost *= OTHER_ZONE_COST
-        return cost * (1.0 + self._random.random() * JITTER)
+            cost *= REMOTE_ZONE_COST_FACTOR
+        return cost * (1.0 + self._random.random() * COST_JITTER)
 
 
-def _soundest(found: list[Backend], now_s: float) -> list[Backend]:
+def _healthiest(found: list[Backend], now_s: float) -> list[Backend]:
     """Return those that stay and are sound, else those that stay, else who may be a last resort."""
     staying = [backend for backend in found if backend.leaving_since_s is None]
     sound = [backend for backend in staying if now_s >= backend.health.suspect_until_s]
--- a/src/yokedock/request/backend_talk.py
+++ b/src/yokedock/request/backend_talk.py
@@ -7,10 +7,10 @@
 from __future__ import annotations
 
 from yokedock.connection.router_state import LimitShare
-from yokedock.request.backend_notices import TELL_LEAVING_S
+from yokedock.request.backend_notices import LEAVING_GOSSIP_S
 from yokedock.request.backend_registry import BackendRegistry
 
-TELL_BROKEN_S = 1.0
+BROKEN_GOSSIP_S = 1.0
 """Routers tell of a backend for so long after it broke an answer off: several datagrams, of which
 some may be lost. One that fails at once looks empty, and would draw a request from each router."""
 PERCENT = 100
@@ -26,11 +26,11 @@
     def broken(self) -> dict[str, int]:
         """Return the share of failures, in percent, of backends that broke an answer lately."""
         now_s = self._registry.now_s()
-        oldest_s = now_s - TELL_BROKEN_S
+        oldest_s = now_s - BROKEN_GOSSIP_S
         return {
-            backend.name: round(PERCENT * backend.health.own_failure_share(now_s))
+            backend.name: round(PERCENT * backend.health.local_failure_share(now_s))
             for backend in self._registry.lives()
-            if backend.health.broke_s >= oldest_s
+            if backend.health.last_broken_s >= oldest_s
         }
 
     def heard_broken(self, broken: dict[str, int], told_s: float | None = None) -> None:
@@ -43,8 +43,10 @@
 
     def said_leaving(self) -> tuple[str, ...]:
         """Return the backends whose answers said here a moment ago that they leave."""
-        oldest_s = self._registry.now_s() - TELL_LEAVING_S
-        return tuple(b.name for b in self._registry.lives() if b.notices.said_leaving_s >= oldest_s)
+        oldest_s = self._registry.now_s() - LEAVING_GOSSIP_S
+        return tuple(
+            b.name for b in self._registry.lives() if b.notices.observed_leaving_s >= oldest_s
+        )
 
     def heard_leaving(self, names: tuple[str, ...], told_s: float | None = None) -> None:
         """Take in of which backends another router heard that they leave."""
@@ -52,7 +54,7 @@
         for name in names:
             backend = self._registry.get(name)
             if backend is not None:
-                backend.note_told_leaving(told_s)
+                backend.record_remote_leaving(told_s)
 
     def limits(self) -> dict[str, LimitShare]:
         """Return what this router has of the limits that backends name."""
--- a/src/yokedock/request/connection_shares.py
+++ b/src/yokedock/request/connection_shares.py
@@ -12,7 +12,7 @@
 
 from yokedock.version.route_table import ServiceSpec
 
-USED_SHARE = 0.9
+USABLE_SHARE = 0.9
 """Share of a backend's connections that is used. The rest is for calls that are no requests, for
 connections that it has not yet seen closed, and for routers that are not known yet."""
 
@@ -26,4 +26,4 @@
 
     def most(self, service: ServiceSpec) -> int:
         """Return how many connections this router may have to one backend, at least 1."""
-        return max(1, math.floor(USED_SHARE * service.max_connections / max(1, self._routers())))
+        return max(1, math.floor(USABLE_SHARE * service.max_connections / max(1, self._routers())))
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -26,13 +26,13 @@
 
 _log = logger("poison")
 
-CERTAIN_ENDS = 3
+MIN_CRASHES = 3
 """Ends that nothing else explains, after which a request is in quarantine whatever else was there:
 the platform's figure for a request that is not to be sent on."""
-PAIR_ENDS = 2
+MIN_EXCLUSIVE_CRASHES = 2
 """The same where no other request was at both backends. Waiting for the third would cost a fifth of
 a fleet of five for some seconds."""
-QUICK_S = 0.01
+IMMEDIATE_CRASH_S = 0.01
 """An end sooner after the request was sent is weak evidence: the backend may have been gone, or
 have reset one connection too many. It counts towards three ends, not towards two."""
 SETTLE_S = 0.1
@@ -43,7 +43,7 @@
 is served again, one that comes all day ends two backends in that time."""
 TELL_S = 1.0
 """A router tells of an end for so long after it saw it: several datagrams, some may be lost."""
-MOST_TOLD = 16
+MAX_GOSSIPED_REQUESTS = 16
 """Requests in one datagram, those with the most ends first: 25 bytes each."""
 MOST_ENDS = 8
 """Ends kept of one request."""
@@ -51,7 +51,7 @@
 """Requests kept, 0.6 MB; the ones whose last end is oldest go first."""
 
 
-class BackendEnd(msgspec.Struct, frozen=True):
+class BackendCrash(msgspec.Struct, frozen=True):
     """The end of one life of a backend while it had the request."""
 
     ended_s: float
@@ -64,9 +64,9 @@
     """A request under which backends ended."""
 
     digest: int
-    ends: dict[int, BackendEnd] = msgspec.field(default_factory=dict)
+    ends: dict[int, BackendCrash] = msgspec.field(default_factory=dict)
     """By the number of the backend's life."""
-    seen_s: float = 0.0
+    last_observed_s: float = 0.0
     """When this router itself saw the newest of them (boot time, s)."""
 
     def last_s(self) -> float:
@@ -95,7 +95,7 @@
         self._is_used = is_used
         self._clock = clock
         self._suspects: dict[int, Suspect] = {}
-        self._by_life: dict[int, set[int]] = {}
+        self._by_incarnation: dict[int, set[int]] = {}
         """Digests of what was at a backend as it ended, by the life's number."""
         self._logged: set[int] = set()
         self.on_change: Callable[[], None] = lambda: None
@@ -105,13 +105,13 @@
 
     # --- What exchanges with backends showed ---
 
-    def note_end(self, digest: int, life: int, had_it_s: float) -> None:
-        """Note that a backend closed ``had_it_s`` after it got the request."""
+    def note_end(self, digest: int, life: int, since_sent_s: float) -> None:
+        """Note that a backend closed ``since_sent_s`` after it got the request."""
         if not self._is_used:
             return
         now_s = self._clock()
-        self._add(digest, life, BackendEnd(now_s, had_it_s < QUICK_S))
-        self._suspects[digest].seen_s = now_s
+        self._add(digest, life, BackendCrash(now_s, since_sent_s < IMMEDIATE_CRASH_S))
+        self._suspects[digest].last_observed_s = now_s
         self.on_end()
         self.on_change()
 
@@ -121,7 +121,7 @@
         An answer to something older proves nothing, however late it is read: it may have lain here
         while this process stood still.
         """
-        for digest in list(self._by_life.get(life, ())):
+        for digest in list(self._by_incarnation.get(life, ())):
             if self._suspects[digest].ends[life].ended_s < sent_s:
                 self._remove(digest, life)
 
@@ -137,7 +137,7 @@
         """Return whether there is any suspect; without one, no digest is needed."""
         return bool(self._suspects)
 
-    def require_sound(self, digest: int) -> None:
+    def require_not_quarantined(self, digest: int) -> None:
         """Raise ``RequestQuarantined`` for a request that is kept from backends."""
         left_s = self.quarantined_for_s(digest)
         if left_s:
@@ -164,47 +164,53 @@
         return max(0.0, left_s)
 
     def _is_poison(self, suspect: Suspect) -> bool:
-        unexplained = self._unexplained(suspect)
-        if len(unexplained) >= CERTAIN_ENDS:
+        attributed = self._attributed_crashes(suspect)
+        if len(attributed) >= MIN_CRASHES:
             return True
-        if len(unexplained) < PAIR_ENDS:
+        if len(attributed) < MIN_EXCLUSIVE_CRASHES:
             return False
         settled_s = self._clock() - SETTLE_S
-        ends = [suspect.ends[life] for life in unexplained]
+        ends = [suspect.ends[life] for life in attributed]
         if any(end.is_quick or end.ended_s > settled_s for end in ends):
             return False
-        others = [self._by_life[life] - {suspect.digest} for life in unexplained]
+        others = [self._by_incarnation[life] - {suspect.digest} for life in attributed]
         return not set.intersection(*others)
 
-    def _unexplained(self, suspect: Suspect) -> set[int]:
+    def _attributed_crashes(self, suspect: Suspect) -> set[int]:
         """Return the ends at which no stronger suspect was present."""
-        if len(suspect.ends) < PAIR_ENDS:
+        if len(suspect.ends) < MIN_EXCLUSIVE_CRASHES:
             return set()
-        return {life for life in suspect.ends if not self._has_stronger(life, len(suspect.ends))}
+        return {
+            life for life in suspect.ends if not self._has_stronger_suspect(life, len(suspect.ends))
+        }
 
-    def _has_stronger(self, life: int, ends: int) -> bool:
-        most = max(len(self._suspects[digest].ends) for digest in self._by_life[life])
-        return most > max(ends, PAIR_ENDS)
+    def _has_stronger_suspect(self, life: int, ends: int) -> bool:
+        most = max(len(self._suspects[digest].ends) for digest in self._by_incarnation[life])
+        return most > max(ends, MIN_EXCLUSIVE_CRASHES)
 
     # --- Between routers ---
 
     def told(self) -> tuple[SuspectRequest, ...]:
         """Return what the other routers are to hear: what this one saw a moment ago."""
         oldest_s = self._clock() - TELL_S
-        return self._tellable(s for s in self._suspects.values() if s.seen_s >= oldest_s)
+        return self._gossip_records(
+            s for s in self._suspects.values() if s.last_observed_s >= oldest_s
+        )
 
     def told_to_newcomer(self) -> tuple[SuspectRequest, ...]:
         """Return what a router that has just started is to hear: all of any weight."""
-        return self._tellable(s for s in self._suspects.values() if len(s.ends) >= PAIR_ENDS)
+        return self._gossip_records(
+            s for s in self._suspects.values() if len(s.ends) >= MIN_EXCLUSIVE_CRASHES
+        )
 
-    def _tellable(self, suspects: Iterable[Suspect]) -> tuple[SuspectRequest, ...]:
+    def _gossip_records(self, suspects: Iterable[Suspect]) -> tuple[SuspectRequest, ...]:
         # What will soon be forgotten is not told: two routers would remind each other for ever.
         now_s = self._clock()
         fresh = [s for s in suspects if s.last_s() > now_s - FORGOTTEN_S + TELL_S]
         fresh.sort(key=lambda s: (len(s.ends), s.last_s()), reverse=True)
         return tuple(
             SuspectRequest(s.digest, s.lives(False), s.lives(True), round(now_s - s.last_s(), 3))
-            for s in fresh[:MOST_TOLD]
+            for s in fresh[:MAX_GOSSIPED_REQUESTS]
         )
 
     def heard(self, told: tuple[SuspectRequest, ...], told_s: float | None = None) -> None:
@@ -213,20 +219,20 @@
             return
         told_s = self._clock() if told_s is None else told_s
         # The same is said several times: only what is new is looked at.
-        if any([self._hear(request, told_s) for request in told]):
+        if any([self._merge(request, told_s) for request in told]):
             self.on_change()
 
-    def _hear(self, request: SuspectRequest, told_s: float) -> bool:
+    def _merge(self, request: SuspectRequest, told_s: float) -> bool:
         """Take in what was told of one request; return whether it is news."""
         ended_s = told_s - request.age_s
         known = self._suspects.get(request.digest)
-        has_news = False
+        has_changed = False
         for lives, is_quick in ((request.lives, False), (request.quick_lives, True)):
             for life in lives:
                 if known is None or life not in known.ends:
-                    self._add(request.digest, life, BackendEnd(ended_s, is_quick))
-                    has_news = True
-        return has_news
+                    self._add(request.digest, life, BackendCrash(ended_s, is_quick))
+                    has_changed = True
+        return has_changed
 
     # --- Upkeep ---
 
@@ -247,22 +253,22 @@
         """Return what operators see: requests kept from backends since the start."""
         return {"requests_quarantined": self.refused}
 
-    def _add(self, digest: int, life: int, end: BackendEnd) -> None:
+    def _add(self, digest: int, life: int, end: BackendCrash) -> None:
         suspect = self._suspects.get(digest)
         if suspect is None:
             suspect = self._suspects[digest] = Suspect(digest)
         if life not in suspect.ends and len(suspect.ends) >= MOST_ENDS:
             self._remove(digest, min(suspect.ends, key=lambda old: suspect.ends[old].ended_s))
         suspect.ends[life] = end
-        self._by_life.setdefault(life, set()).add(digest)
+        self._by_incarnation.setdefault(life, set()).add(digest)
 
     def _remove(self, digest: int, life: int) -> None:
         suspect = self._suspects[digest]
         del suspect.ends[life]
-        digests = self._by_life[life]
+        digests = self._by_incarnation[life]
         digests.discard(digest)
         if not digests:
-            del self._by_life[life]
+            del self._by_incarnation[life]
         if not suspect.ends:
             self._suspects.pop(digest, None)
             self._logged.discard(digest)
--- a/src/yokedock/request/quarantine.py
+++ b/src/yokedock/request/quarantine.py
@@ -26,7 +26,7 @@
         """End calls as ``requests`` says."""
         self._requests = requests
         self._limits: dict[RoutedCall, asyncio.Timeout] = {}
-        self._is_second_look_due = False
+        self._is_recheck_scheduled = False
         requests.on_change = self._look
 
     @contextlib.asynccontextmanager
@@ -37,7 +37,7 @@
         been.
         """
         if self._requests.is_known():
-            self._requests.require_sound(call.digest)
+            self._requests.require_not_quarantined(call.digest)
         limit = asyncio.timeout(None)
         self._limits[call] = limit
         try:
@@ -57,19 +57,19 @@
     def _look(self) -> None:
         """End what is in quarantine now, and look again once pairs have settled."""
         self._end_quarantined()
-        if not self._is_second_look_due and self._limits:
-            self._is_second_look_due = True
+        if not self._is_recheck_scheduled and self._limits:
+            self._is_recheck_scheduled = True
             delay_s = SETTLE_S + TIMER_SLACK_S
-            asyncio.get_running_loop().call_later(delay_s, self._second_look)
+            asyncio.get_running_loop().call_later(delay_s, self._recheck)
 
-    def _second_look(self) -> None:
-        self._is_second_look_due = False
+    def _recheck(self) -> None:
+        self._is_recheck_scheduled = False
         self._end_quarantined()
 
     def _end_quarantined(self) -> None:
         now_s = asyncio.get_running_loop().time()
         for call, limit in list(self._limits.items()):
-            may_end = not call.answer.has_started and not limit.expired()
-            if may_end and self._requests.quarantined_for_s(call.digest):
+            is_cancellable = not call.answer.has_started and not limit.expired()
+            if is_cancellable and self._requests.quarantined_for_s(call.digest):
                 self._requests.refused += 1
                 limit.reschedule(now_s)
--- a/src/yokedock/request/retry_allowance.py
+++ b/src/yokedock/request/retry_allowance.py
@@ -20,7 +20,7 @@
 
 _log = logger("retries")
 
-SAFETY = 0.8
+USABLE_BUDGET_SHARE = 0.8
 """Share of the budget that is used. Arrivals are counted one by one; the rest is for requests, that
 a router may count in another window than its arrivals: docs/DESIGN.md has the arithmetic."""
 SETTLE_S = 1.0
@@ -57,7 +57,7 @@
 
     def __enter__(self) -> Self:
         """Count the request."""
-        self._allowance.note_request(self._service)
+        self._allowance.record_request(self._service)
         return self
 
     def __exit__(
@@ -69,13 +69,13 @@
         """Give back what was not used."""
         self.give_back()
 
-    def may_go_on(self, call: RoutedCall, least_left_s: float, is_arrival: bool = True) -> bool:
+    def may_go_on(self, call: RoutedCall, min_left_s: float, is_arrival: bool = True) -> bool:
         """Return whether another backend may be tried for ``call``; if so, it is paid for.
 
-        Not with less than ``least_left_s`` left; ``is_arrival``: the last try reached a backend, so
+        Not with less than ``min_left_s`` left; ``is_arrival``: the last try reached a backend, so
         that the next one spends the allowance.
         """
-        if call.left_s() < least_left_s or not call.may_run_again():
+        if call.left_s() < min_left_s or not call.may_run_again():
             return False
         return not is_arrival or self.set_aside(1)
 
@@ -87,7 +87,7 @@
         """
         more = arrivals - self._set_aside
         if arrivals and not self._allowance.has_room(self._service, more):
-            self._allowance.note_denied(self._service, self._request_id, more)
+            self._allowance.record_denied(self._service, self._request_id, more)
             return False
         self._allowance.counts(self._service).set_aside += more
         self._set_aside = arrivals
@@ -127,7 +127,9 @@
         self._fleet_size = fleet_size
         self._clock = clock
         # What this router's life before spent is not known, and it counts until this time.
-        self._life_before_s = clock() + (0.0 if is_first_start else bounds.window_s + SETTLE_S)
+        self._previous_run_until_s = clock() + (
+            0.0 if is_first_start else bounds.window_s + SETTLE_S
+        )
         self._services: dict[str, ServiceCounts] = {}
         self._made = 0
         self._denied = 0
@@ -149,7 +151,7 @@
         _drop_before(counts.extras, now_s - self._bounds.window_s - SETTLE_S)
         return counts
 
-    def note_request(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Count a caller's request."""
         self.counts(service).requests.append(self._clock())
 
@@ -158,7 +160,7 @@
         self._made += 1
         self.counts(service).extras.append(self._clock())
 
-    def note_denied(self, service: str, request_id: str, arrivals: int) -> None:
+    def record_denied(self, service: str, request_id: str, arrivals: int) -> None:
         """Count and log a repeat that is not made because the budget is spent."""
         self._denied += 1
         counts = self.counts(service)
@@ -191,9 +193,9 @@
     def _share(self, counts: ServiceCounts) -> float:
         """Return how many extra arrivals this router may make in a window."""
         fixed = self._bounds.allowance / max(1, self._fleet_size())
-        is_alone = self._clock() >= self._life_before_s
-        fixed *= SAFETY if is_alone else 1.0 - SAFETY
-        return SAFETY * self._bounds.ratio * len(counts.requests) + fixed
+        is_alone = self._clock() >= self._previous_run_until_s
+        fixed *= USABLE_BUDGET_SHARE if is_alone else 1.0 - USABLE_BUDGET_SHARE
+        return USABLE_BUDGET_SHARE * self._bounds.ratio * len(counts.requests) + fixed
 
 
 def _drop_before(times: collections.deque[float], oldest_s: float) -> None:
--- a/src/yokedock/request/shared_rate.py
+++ b/src/yokedock/request/shared_rate.py
@@ -26,11 +26,11 @@
 """Permits of so much time may be saved up, one at least. It outlasts the steps of a large fleet."""
 LEAST_PER_S = 0.1
 """A backend that names less is still asked this often, or nobody would hear that its need ended."""
-FIRST_PERMITS_S = 1.0
+BASELINE_WINDOW_S = 1.0
 """What routers had taken before is not known of those that are heard within this time."""
-ENDED_PER_S = -1.0
+NO_LIMIT_PER_S = -1.0
 """Told in the place of a rate that has ended."""
-ENDED_TOLD_S = 1.0
+LIMIT_END_GOSSIP_S = 1.0
 """Routers tell of an end for so long: two datagrams at least, of which one may be lost."""
 
 
@@ -61,7 +61,7 @@
         self._available = 0.0
         """Permits that were free at ``_available_s``; less than 0 if the bucket is overdrawn."""
         self._available_s = now_s
-        self._draw = self._random.random()
+        self._random_draw = self._random.random()
 
     # --- The limit ---
 
@@ -74,27 +74,27 @@
         is_newer = sent_s >= self.heard_s
         if not is_newer and not _is_stricter(limit_per_s, self.per_s):
             return False
-        return self._take_over(limit_per_s, now_s, now_s)
+        return self._apply_limit(limit_per_s, now_s, now_s)
 
-    def _take_over(self, limit_per_s: float | None, heard_s: float, now_s: float) -> bool:
+    def _apply_limit(self, limit_per_s: float | None, heard_s: float, now_s: float) -> bool:
         self.heard_s = max(self.heard_s, heard_s)
         if limit_per_s == self.per_s:
             return False
         available = self._free(now_s) if self.per_s is not None else 0.0
         self.per_s = limit_per_s
-        self._set_free(min(available, self._most()), now_s)
+        self._set_available(min(available, self._most()), now_s)
         return True
 
     def is_over(self, now_s: float) -> bool:
         """Return whether there is no limit any more, and all were told."""
-        return self.per_s is None and now_s > self.heard_s + ENDED_TOLD_S
+        return self.per_s is None and now_s > self.heard_s + LIMIT_END_GOSSIP_S
 
     # --- Permits ---
 
     def take(self, now_s: float) -> None:
         """Take a permit, also one that is not free: what must be sent overdraws the bucket."""
         self.taken += 1
-        self._set_free(self._free(now_s) - 1.0, now_s)
+        self._set_available(self._free(now_s) - 1.0, now_s)
 
     def wait_s(self, now_s: float, since_s: float, routers: int) -> float:
         """Return after what time this router may take a permit, 0 if now.
@@ -105,18 +105,18 @@
         if self.per_s is None:
             return 0.0
         free = self._free(now_s)
-        before = sum(self._is_before(name, other, since_s) for name, other in self._others.items())
+        before = sum(self._precedes(name, other, since_s) for name, other in self._others.items())
         steps = max(0, before - max(0, math.floor(free) - 1))
         if since_s >= now_s and free < 2.0:
-            steps += math.floor(math.log2(1.0 + self._draw * max(0, routers - 1)))
-        free_since_s = self._available_s + (1.0 - self._available) / self._rate()
-        return max(0.0, free_since_s + steps * STEP_S - now_s)
+            steps += math.floor(math.log2(1.0 + self._random_draw * max(0, routers - 1)))
+        available_since_s = self._available_s + (1.0 - self._available) / self._rate()
+        return max(0.0, available_since_s + steps * STEP_S - now_s)
 
     def waiting_elsewhere(self) -> int:
         """Return how many requests wait at other routers."""
         return sum(other.waiting for other in self._others.values())
 
-    def _is_before(self, name: str, other: RouterPermits, since_s: float) -> bool:
+    def _precedes(self, name: str, other: RouterPermits, since_s: float) -> bool:
         if not other.waiting:
             return False
         if abs(other.since_s - since_s) < TIE_S:
@@ -128,11 +128,11 @@
     def share(self, now_s: float, waiting: int, since_s: float) -> LimitShare:
         """Return what is told: ``waiting`` requests wait here, the first since ``since_s``."""
         return LimitShare(
-            ENDED_PER_S if self.per_s is None else self.per_s,
-            _ms(now_s - self.heard_s),
+            NO_LIMIT_PER_S if self.per_s is None else self.per_s,
+            _to_ms(now_s - self.heard_s),
             self.taken,
             waiting,
-            _ms(now_s - since_s) if waiting else 0,
+            _to_ms(now_s - since_s) if waiting else 0,
         )
 
     def heard(
@@ -145,7 +145,7 @@
         told_s = now_s if told_s is None else told_s
         before = self._others.get(router)
         if before is None:
-            is_known = now_s < self._began_s + FIRST_PERMITS_S
+            is_known = now_s < self._began_s + BASELINE_WINDOW_S
             before = self._others[router] = RouterPermits(told.taken if is_known else 0)
         elif told.taken < before.taken:
             before.taken = 0
@@ -154,12 +154,12 @@
         before.waiting = told.waiting
         before.since_s = told_s - told.waited_ms / 1000
         if more:
-            self._set_free(self._free(now_s) - more, now_s)
+            self._set_available(self._free(now_s) - more, now_s)
         heard_s = told_s - told.age_ms / 1000
         if heard_s <= self.heard_s:
             return False
         limit_per_s = None if told.per_s < 0 else told.per_s
-        return self._take_over(limit_per_s, heard_s, now_s)
+        return self._apply_limit(limit_per_s, heard_s, now_s)
 
     def forget(self, router: str) -> None:
         """Drop what waits at a router that is heard no longer; what it took stays taken."""
@@ -180,16 +180,16 @@
         grown = self._available + (now_s - self._available_s) * self._rate()
         return min(grown, self._most())
 
-    def _set_free(self, available: float, now_s: float) -> None:
+    def _set_available(self, available: float, now_s: float) -> None:
         self._available, self._available_s = available, now_s
-        self._draw = self._random.random()
+        self._random_draw = self._random.random()
 
 
-def _is_stricter(limit_per_s: float | None, than_per_s: float | None) -> bool:
+def _is_stricter(limit_per_s: float | None, other_per_s: float | None) -> bool:
     if limit_per_s is None:
         return False
-    return than_per_s is None or limit_per_s < than_per_s
+    return other_per_s is None or limit_per_s < other_per_s
 
 
-def _ms(span_s: float) -> int:
+def _to_ms(span_s: float) -> int:
     return max(0, round(span_s * 1000))
