--- a/src/yokedock/request/backend.py
+++ b/src/yokedock/request/backend.py
@@ -1,4 +1,4 @@
-"""What an agent's back end offers to the tasks of its peers."""
+"""Interface of the backend that an agent runs on behalf of its peers."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 from yokedock.request.known_blocks import BlockChanges
 
 SendFrame = Callable[[StepFrame], None]
-"""Sends tokens to the gateway that owns a stream."""
+"""Sends generated tokens to the gateway that owns the stream."""
 
 
 class OrderGuard(abc.ABC):
-    """Says, right before an order goes out, whether its sender may still give it."""
+    """Checks, right before an order is sent, whether its sender is still authorised to give it."""
 
     @abc.abstractmethod
     def check(self, attempt: str) -> None:
-        """Raise ``LeaseExpired`` when the sender's lease ended or it released the attempt."""
+        """Raise ``LeaseExpired`` if the sender's lease has expired or it released the attempt."""
 
 
 class Backend(abc.ABC):
-    """The back end beside an agent, as seen by the agent's peers."""
+    """The backend next to an agent, as the agent's peers see it."""
 
     @abc.abstractmethod
     def is_quick(self, order: AnyMessage) -> bool:
-        """Return whether ``run`` answers the order without waiting for the back end."""
+        """Return whether ``run`` replies to the order without waiting for the backend."""
 
     @abc.abstractmethod
     def run(self, order: AnyMessage, guard: OrderGuard, send: SendFrame) -> AnyMessage:
-        """Carry out an order and return its reply; raises typed errors."""
+        """Execute an order and return its reply; raises typed errors."""
 
     @abc.abstractmethod
     def release(self, attempt: str) -> None:
-        """End whatever runs or is held for an attempt; confirmed in the background."""
+        """Stop whatever runs and free whatever is held for an attempt; confirmed asynchronously."""
 
     @abc.abstractmethod
     def holds(self, attempt: str) -> bool:
@@ -41,10 +41,12 @@
 
     @abc.abstractmethod
     def load(self) -> LoadReport:
-        """Return the present load."""
+        """Return the current load."""
 
     def block_changes(self, after: int) -> BlockChanges:
-        """Return cached and evicted prompt blocks after a change's number; none by default."""
+        """Return the prompt blocks cached and evicted after change number ``after``; none by
+        default.
+        """
         return BlockChanges(after, (), (), True)
 
     @abc.abstractmethod
@@ -53,4 +55,4 @@
 
     @abc.abstractmethod
     def set_leaving(self, leaving: bool) -> None:
-        """Take no new work while ``leaving``."""
+        """Reject new work while ``leaving``."""
--- a/src/yokedock/request/backend_exchange.py
+++ b/src/yokedock/request/backend_exchange.py
@@ -1,4 +1,4 @@
-"""One request at one backend: connect, send, read."""
+"""One HTTP exchange with one backend: connect, send the request, read the response."""
 
 from __future__ import annotations
 
@@ -32,12 +32,13 @@
 
 CONNECT_TIMEOUT_S = 0.15
 MAX_IDLE_NOT_REPEATABLE_S = 0.8
-"""What may not be repeated uses only connections that rested for less: fewer are closed by then."""
+"""Maximum idle time of a reused connection for requests that must not be repeated: the shorter a
+connection was idle, the less likely the backend is to have closed it."""
 MAX_BUFFERED_RESPONSE_BYTES = 16_777_216
 MIN_REDIRECT_STATUS = 300
 SERVER_ERROR = 500
 SILENT_S = 1.0
-"""A backend that says nothing for this long is avoided for a while."""
+"""A backend that sends nothing for this long is avoided temporarily."""
 
 
 class BackendExchange:
@@ -51,12 +52,12 @@
         call: RoutedCall,
         poison: PoisonRequests,
     ) -> None:
-        """Wrap a connection that is ready to send; ``poison`` hears how the request went."""
+        """Wrap a connection that is ready to send; the outcome is reported to ``poison``."""
         self.backend = backend
         self.is_whole = False
         self.is_sent = False
         self.on_silence: Callable[[], None] = lambda: None
-        """Called when ``suspect_after`` says so."""
+        """Called when the time set with ``suspect_after`` has passed without data."""
         self._silence_timer: asyncio.TimerHandle | None = None
         self._connection = connection
         self._dialect = dialect
@@ -65,15 +66,15 @@
         self._sent_s = 0.0
         self._is_prefill = False
         self._notes: AnswerNotes | None = None
-        """What the newest head says."""
+        """Metadata from the latest response head."""
 
     @property
     def is_open(self) -> bool:
-        """Return whether an answer may still come on the connection."""
+        """Return whether a response can still arrive on the connection."""
         return self._connection.is_open
 
     async def send(self, order: BackendOrder) -> None:
-        """Send the request; raises ``CallerGone`` instead if nobody waits for it any more."""
+        """Send the request; raises ``CallerGone`` instead if the caller has disconnected."""
         call = self._call
         call.answer.require_caller()
         headers = self._dialect.backend_headers(call.request.head, order)
@@ -83,9 +84,10 @@
         await self._connection.send(call.request.head, headers, call.request.body)
 
     def suspect_after(self, quiet_s: float) -> None:
-        """Suspect the connection, while the wait goes on, once nothing has come for ``quiet_s``.
+        """Call ``on_silence`` once no data has arrived for ``quiet_s``, and continue to wait.
 
-        A request that may not be repeated waits to its end; others must not meet the same silence.
+        A request that must not be repeated waits for its response or its deadline; this keeps other
+        requests off connections that have probably failed in the same way.
         """
         due_s = quiet_s - (boot_time_s() - self._connection.awaited_since_s())
         if due_s <= 0:
@@ -95,15 +97,15 @@
         self._silence_timer = loop.call_later(due_s, self.suspect_after, quiet_s)
 
     def close(self) -> None:
-        """End watching for silence."""
+        """Stop the silence timer."""
         if self._silence_timer is not None:
             self._silence_timer.cancel()
 
     async def read_head(self, timeout_s: float) -> AnswerHead:
-        """Return the head of the answer.
+        """Return the head of the response.
 
         Raises ``BackendRefused`` if the backend states that it does not run the request,
-        ``BackendBroken`` if there is no sound answer within ``timeout_s``.
+        ``BackendBroken`` if no valid response arrives within ``timeout_s``.
         """
         try:
             async with Patience(timeout_s):
@@ -111,7 +113,7 @@
         except TimeoutError:
             if timeout_s >= SILENT_S:
                 self.backend.health.note_silence(boot_time_s())
-            message = f"{self.backend.name} gave no answer in {timeout_s:.2f} s"
+            message = f"{self.backend.name} sent no response within {timeout_s:.2f} s"
             raise BackendSilent(message) from None
         notes = self._notes
         assert notes is not None
@@ -120,18 +122,21 @@
             self.backend.record_gone(boot_time_s())
         self._poison.note_alive(self.backend.life, self._sent_s)
         if notes.is_not_run:
-            raise BackendRefused(f"{self.backend.name} refused it with {head.status}")
+            raise BackendRefused(
+                f"{self.backend.name} refused the request with status {head.status}"
+            )
         if head.get(b"content-encoding") is not None:
-            raise BackendBroken(f"{self.backend.name}: the answer is encoded")
+            raise BackendBroken(f"{self.backend.name}: response has a Content-Encoding")
         if head.status < SERVER_ERROR and not self._is_prefill:
             self._check_origin(head, notes)
         return head
 
     async def read_whole(self, patience_s: float) -> WholeAnswer:
-        """Return head and body, read whole; raises as ``read_head``.
+        """Return the head and the complete body; raises as ``read_head``.
 
-        ``patience_s`` is the longest silence, before the head and between two parts: an answer that
-        flows is the backend's work done, and asking elsewhere would have it done twice.
+        ``patience_s`` limits the time without data, before the head and between two parts of the
+        body, not the total time: while a response is arriving the backend has done the work, and a
+        retry elsewhere would repeat it.
         """
         head = await self.read_head(patience_s)
         clock = asyncio.get_running_loop().time
@@ -143,16 +148,18 @@
                     parts.append(part)
                     time_limit.reschedule(min(clock() + patience_s, deadline_s))
         except TimeoutError:
-            raise BackendBroken(f"{self.backend.name}: the answer was not whole in time") from None
+            raise BackendBroken(
+                f"{self.backend.name}: response incomplete at the time limit"
+            ) from None
         self.finish(is_failure=head.status >= SERVER_ERROR)
         return WholeAnswer(head, b"".join(parts))
 
     def body_parts(self) -> AsyncIterator[bytes]:
-        """Return the parts of the body as they come."""
+        """Return the parts of the body as they arrive."""
         return self._connection.body_parts()
 
     def finish(self, is_failure: bool = False) -> None:
-        """Note that the answer was read whole."""
+        """Record that the response was read completely."""
         self.is_whole = True
         now_s = boot_time_s()
         self.backend.health.note_answer(now_s, now_s - self._sent_s, is_failure)
@@ -160,22 +167,26 @@
             self._poison.note_sound(self._call.digest)
 
     def record_closed(self) -> None:
-        """Note that the backend closed while it had the request, unless it is leaving anyway."""
+        """Record that the backend closed the connection during the request.
+
+        Does nothing if the backend has announced that it is leaving.
+        """
         if self.is_sent and not self.backend.is_ending:
             since_sent_s = boot_time_s() - self._sent_s
             self._poison.note_end(self._call.digest, self.backend.life, since_sent_s)
 
     def _check_origin(self, head: AnswerHead, notes: AnswerNotes) -> None:
-        """Raise unless the answer names the request and a success carries a signature."""
+        """Raise unless the response names a request and a successful one carries a signature."""
         if notes.request_id is None:
-            raise BackendBroken(f"{self.backend.name}: the answer names no request")
+            raise BackendBroken(f"{self.backend.name}: response names no request id")
         if head.status < MIN_REDIRECT_STATUS and not notes.is_signed:
-            raise BackendBroken(f"{self.backend.name}: the answer is not signed")
+            raise BackendBroken(f"{self.backend.name}: response is not signed")
 
     def _matches_request(self, head: AnswerHead) -> bool:
-        """Tell our answer from one to an earlier request on the same connection.
+        """Return whether a response belongs to this request and not to an earlier one on the
+        connection.
 
-        What the backend says of itself holds whichever request it answers.
+        Statements of the backend about itself are applied in either case.
         """
         notes = self._notes = self._dialect.answer_notes(head)
         is_ours = notes.request_id is None or notes.request_id == self._call.request_id
@@ -197,7 +208,7 @@
         poison: PoisonRequests,
         shares: ConnectionShares,
     ) -> None:
-        """Share the pool and dialect of the process, and what is known of harmful requests."""
+        """Use the connection pool, dialect and poison request records of the process."""
         self.pool = pool
         self._shares = shares
         self._poison = poison
@@ -209,16 +220,20 @@
     ) -> AsyncIterator[BackendExchange]:
         """Connect to a backend; raises ``BackendUnreachable`` if nothing could be sent.
 
-        That includes a backend that has said since it was chosen that it wants nothing.
-        Raises ``RequestQuarantined`` for a request that ends its backends.
+        This includes a backend that has stopped accepting requests since it was selected. Raises
+        ``RequestQuarantined`` for a request that crashes backends.
 
-        ``has_permit``: a permit of a limited backend was taken already, or nothing will be sent.
+        ``has_permit``: a permit of a rate-limited backend has been taken already, or nothing will
+        be sent.
 
-        The connection rests afterwards if its answer was read whole, else it is closed at once,
-        so that the backend stops working on what nobody waits for.
+        Afterwards the connection goes back to the pool if the response was read completely.
+        Otherwise it is closed at once, so that the backend stops working on a request without a
+        recipient.
         """
         if backend.has_ended:
-            raise BackendUnreachable(f"{backend.name} has ended: {backend.entry.instance} is new")
+            raise BackendUnreachable(
+                f"{backend.name} has ended: {backend.entry.instance} was restarted"
+            )
         if self._poison.is_known():
             self._poison.require_not_quarantined(call.digest)
         backend.require_willing(boot_time_s())
@@ -247,7 +262,8 @@
             self.pool.forget(address)
             raise
         finally:
-            # Whoever connects has its place already: others choose meanwhile.
+            # A request counts as outstanding while it connects, because other requests select
+            # backends meanwhile. It is counted again below once connected.
             backend.outstanding -= 1
         exchange = BackendExchange(connection, self.dialect, backend, call, self._poison)
         exchange.on_silence = lambda: self._drop_silent_connections(connection, call)
@@ -258,7 +274,7 @@
         except BackendRefused:
             now_s = boot_time_s()
             if not backend.notices.is_resting(now_s):
-                # Who asks for rest says itself for how long to stay away.
+                # A backend that asked for back-off has stated itself how long to avoid it.
                 backend.health.note_answer(now_s, 0.0, is_failure=True)
             raise
         except BackendBroken as error:
@@ -286,9 +302,11 @@
                 connection.abort()
 
     def _drop_silent_connections(self, connection: BackendConnection, call: RoutedCall) -> None:
-        """Drop the connections that may have gone silent with this one, and repeat on no such one.
+        """Drop idle connections that may have failed together with this one, and don't retry on
+        any.
 
-        Whatever brought something in the later half of the wait has outlived the silence.
+        A connection on which data arrived in the second half of the silent period was still working
+        during it, and is kept.
         """
         heard_after_s = (connection.awaited_since_s() + boot_time_s()) / 2
         call.heard_after_s = max(call.heard_after_s, heard_after_s)
--- a/src/yokedock/request/backend_list.py
+++ b/src/yokedock/request/backend_list.py
@@ -1,7 +1,7 @@
-"""The lives of all known backends, kept in step with the list that the platform publishes.
+"""The incarnations of all known backends, synchronised with the list that the platform publishes.
 
-The list arrives whole or as changes. A life that is no longer listed is kept for a while because
-requests to it may still be under way and because it may be listed again.
+The list is received in full or as changes. An incarnation that is no longer listed is retained for
+a while because requests to it may still be in progress and because it may be listed again.
 """
 
 from __future__ import annotations
@@ -21,13 +21,13 @@
 _log = logger("backends")
 
 GONE_KEPT_S = 10.0
-"""What answers showed of a backend is kept for this long after it left: it may come back."""
+"""Retention time for the health data of a backend after it left: it may come back."""
 
 
 class BackendList:
-    """Backends by the name of their life. ``on_change`` is called after every change of the list.
+    """Backends by incarnation name. ``on_change`` is called after every change of the list.
 
-    ``on_new_life`` is called with the life that ended when a backend has started anew.
+    ``on_new_life`` is called with the previous incarnation when a backend has restarted.
     """
 
     def __init__(
@@ -38,7 +38,7 @@
         self._clock = clock
         self._backends: dict[str, Backend] = {}
         self._newest: dict[str, Backend] = {}
-        """The newest life of each backend, by identifier."""
+        """The latest incarnation of each backend, by identifier."""
         self._members: dict[tuple[str, str | None], list[Backend]] | None = None
         """Backends by service and role, and by service alone; None after a change of the list."""
         self._restoration = ListRestoration()
@@ -46,7 +46,7 @@
         self.on_new_life: Callable[[Backend], None] = lambda backend: None
 
     def replace_all(self, entries: dict[str, BackendEntry]) -> None:
-        """Take over a whole list: what it does not name is gone.
+        """Replace the whole list: backends that are not in ``entries`` are gone.
 
         After ``restore_all``, backends within their grace period are kept.
         """
@@ -60,11 +60,11 @@
     def restore_all(
         self, entries: dict[str, BackendEntry], applied: AppliedHistory = NOTHING_APPLIED
     ) -> None:
-        """Take over a whole list whose source has been restored from a backup.
+        """Replace the whole list after its source has been restored from a backup.
 
-        Backends that it does not name are kept for a grace period. A life that was leaving or
-        removed does not become ready by an entry of the backup. An entry that ``applied`` contains,
-        of a backend that is not listed here, counts as removed before the restore.
+        Backends that are not in it are kept for a grace period. An incarnation that was leaving or
+        removed does not become ready through an entry of the backup. An entry that ``applied``
+        contains, of a backend that is not listed here, counts as removed before the restore.
         """
         now_s = self._clock()
         listed = {instance for instance, backend in self._newest.items() if backend.is_listed}
@@ -77,7 +77,7 @@
         self.replace_all(entries)
 
     def update(self, changed: Iterable[BackendEntry], gone: Iterable[str]) -> None:
-        """Take over changes that were written to the source."""
+        """Apply changes that were written to the source."""
         now_s = self._clock()
         for entry in changed:
             self._restoration.release(self._incarnation_name_of(entry))
@@ -98,7 +98,7 @@
             self._remove(expired, now_s)
 
     def drop_gone(self) -> None:
-        """Drop backends that left long ago and have nothing under way, and limits that ended."""
+        """Drop idle backends that left long ago, and limits that have ended."""
         self.apply_restoration_timeouts()
         now_s = self._clock()
         for name, backend in list(self._backends.items()):
@@ -116,19 +116,19 @@
         self._restoration.drop_expired(listed, now_s)
 
     def now_s(self) -> float:
-        """Return the time by the clock of all that is believed here (boot time)."""
+        """Return the current time of the clock used for all backends (boot time)."""
         return self._clock()
 
     def lives(self) -> Iterable[Backend]:
-        """Return all lives that are known, those that ended a moment ago included."""
+        """Return all known incarnations, including those that ended recently."""
         return self._backends.values()
 
     def get(self, name: str) -> Backend | None:
-        """Return a backend by the name of its life."""
+        """Return a backend by its incarnation name."""
         return self._backends.get(name)
 
     def names(self) -> set[str]:
-        """Return the names of all lives, those that ended a moment ago included."""
+        """Return the names of all known incarnations, including those that ended recently."""
         return set(self._backends)
 
     def withdrawal_count(self) -> int:
@@ -144,7 +144,7 @@
         }
 
     def members(self, service: str, role: str | None = None) -> list[Backend]:
-        """Return all known backends of a service; the same list until the list of all changes."""
+        """Return all known backends of a service; cached until the next change."""
         if self._members is None:
             self._members = {}
             for backend in self._backends.values():
@@ -167,15 +167,19 @@
         self.on_change()
 
     def _incarnation_name_of(self, entry: BackendEntry) -> str:
-        """Return the name of an entry's life: the newest known if the entry has no start time."""
+        """Return the incarnation name of an entry: the latest known one if it has no start time."""
         newest = self._newest.get(entry.instance)
         return newest.name if newest is not None and not entry.born_ms else incarnation_name(entry)
 
     def _put(self, entry: BackendEntry, now_s: float) -> None:
         before = self._newest.get(entry.instance)
         if before is not None and 0 < entry.born_ms < before.entry.born_ms:
-            # Said by the life before, and heard late: of this one it says nothing.
-            _log.info("entry of an earlier life", backend=before.name, born_ms=entry.born_ms)
+            # A delayed entry of a previous incarnation says nothing about the current one.
+            _log.info(
+                "ignored entry of an earlier incarnation",
+                backend=before.name,
+                born_ms=entry.born_ms,
+            )
             return
         if before is not None and not entry.born_ms:
             entry = msgspec.structs.replace(entry, born_ms=before.entry.born_ms)
@@ -195,12 +199,12 @@
         backend.entry = entry
         backend.is_listed = True
         if not is_known:
-            # Since when is not known: it may have been leaving for longer than it may be used.
+            # It is unknown how long it has been leaving, so the grace period may already be over.
             backend.record_gone(now_s)
         backend.record_unlisted(now_s)
 
     def _begin(self, entry: BackendEntry, before: Backend | None, now_s: float) -> Backend:
-        """Begin a new life; of the one before nothing is kept but how soon it ended."""
+        """Add a new incarnation, initialised from the previous one if there is one."""
         backend = Backend(entry, now_s, self.limits)
         self._backends[backend.name] = self._newest[entry.instance] = backend
         if before is not None:
--- a/src/yokedock/request/backend_notices.py
+++ b/src/yokedock/request/backend_notices.py
@@ -1,12 +1,12 @@
-"""What one life of a backend says of itself in its answers: that it leaves, that it wants rest.
+"""Notices in the responses of one backend incarnation: that it is leaving, or asks for back-off.
 
-It is heard in every answer but those to releases of a prompt's memory, passed on or not, since the
-list of backends may be silent or behind. A refusal alone only makes a backend dearer for some
-seconds: one that wants rest would get more requests meanwhile, each of which costs its caller a
-repeat.
+They are taken from every response, forwarded or not, except those to releases of prompt memory,
+because the backend list may be unavailable or outdated. Treating back-off as a failure alone isn't
+enough: that only raises the cost of the backend for some seconds, during which it would get more
+requests, each costing its caller a retry.
 
-Nothing takes back what was said: neither an older entry that calls the backend ready, nor a good
-answer that was under way when it asked for rest, nor a shorter rest asked for after a longer one.
+A notice is not revoked by an older entry that lists the backend as ready, by a success that was in
+flight when the backend asked for back-off, or by a shorter back-off after a longer one.
 """
 
 from __future__ import annotations
@@ -21,35 +21,36 @@
 _log = logger("notices")
 
 LEAVING_GOSSIP_S = 1.0
-"""Routers tell each other of a leaving for so long after they heard of it: two datagrams at least,
-of which one may be lost. Whoever hears it sends no stream to a backend that ends under it."""
+"""How long routers send each other a leaving notice after they received it: in at least two
+datagrams, one of which may be lost. Routers that know of it start no stream that the backend's end
+would cut off."""
 SAID_KEPT_S = 60.0
-"""What a backend said is kept so long after its entry has gone: an entry that lapsed with the list
-may come back while the backend is still on its way out, many seconds later. Two backends replaced
-each second, all of which say that they leave, are 120 more to look through."""
+"""Retention time for notices after the entry of the backend has gone: an entry that expired
+together with the list may reappear while the backend is still shutting down, many seconds later. If
+two backends that announced their end are replaced each second, this adds 120 entries to scan."""
 
 
 class BackendNotices(msgspec.Struct):
-    """What answers of one life said; times are seconds of boot time."""
+    """Notices received from one incarnation; times are seconds of boot time."""
 
     leaving_since_s: float | None = None
-    """When it was first heard that it leaves."""
+    """When its leaving was first reported, here or by another router."""
     observed_leaving_s: float = -math.inf
-    """When this router itself first had an answer that says so."""
+    """When this router itself first received a response that reports it."""
     backoff_until_s: float = -math.inf
-    """Until when it wants no request from this router."""
+    """Until when the backend wants no request from this router."""
     leaving_request_sent_ms: int = 0
-    """Time of day at which the request was sent whose answer first reported the leaving state."""
+    """Time of day at which the request was sent whose response first reported the leaving state."""
     backoff_connection_opened_ms: int = 0
-    """Time of day at which the connection was opened that last reported a rest."""
+    """Time of day at which the connection was opened that last reported a back-off."""
 
     def take(
         self, notes: AnswerNotes, backend: str, now_s: float, opened_ms: int, sent_ms: int
     ) -> None:
-        """Take in what the head of an answer says of ``backend``.
+        """Apply the notices in a response head of ``backend``.
 
-        The answer's connection was opened at ``opened_ms`` and its request was sent at ``sent_ms``
-        (times of day).
+        The connection of the response was opened at ``opened_ms`` and its request was sent at
+        ``sent_ms`` (times of day).
         """
         if notes.is_leaving and self.observed_leaving_s < 0:
             self.observed_leaving_s, self.leaving_request_sent_ms = now_s, sent_ms
@@ -61,23 +62,26 @@
             _log.info("backend asks for rest", backend=backend, rest_s=notes.rest_s)
 
     def record_leaving(self, now_s: float) -> None:
-        """Note that an answer said, here or to another router, that the backend leaves."""
+        """Record that a response, received here or by another router, reports the leaving state."""
         if self.leaving_since_s is None:
             self.leaving_since_s = now_s
 
     def is_resting(self, now_s: float) -> bool:
-        """Return whether the backend wants no request now."""
+        """Return whether the backend has asked for back-off that is not over."""
         return now_s < self.backoff_until_s
 
     def carried_over(self, born_ms: int, max_clock_skew_ms: int) -> BackendNotices:
-        """Return what the next life, begun at ``born_ms``, said before it was heard of.
-
-        A connection that was opened since its start is its own, whoever was thought to be there:
-        with the list silent for 2.5 s, a rest of that length was forgotten as the list came back.
-        Clocks differ by ``max_clock_skew_ms``: within that a rest is believed, since it ends by
-        itself, and a leaving state is not, since nothing would clear it. A rest is dated by the
-        opening of its connection, a leaving state by the sending of its request: a request sent
-        after the margin was answered by the next life, even on a connection opened before that.
+        """Return the notices that the next incarnation, started at ``born_ms``, has already given.
+
+        They were attributed to this incarnation because the router had not yet learned of the
+        restart. A connection that was opened after the start belongs to the next incarnation.
+        Without this, a back-off of 2.5 s was lost when the list was unavailable for that long.
+
+        Clocks differ by up to ``max_clock_skew_ms``. Within that margin a back-off is carried over
+        because it ends by itself, and a leaving state is not because nothing would clear it. A
+        back-off is dated by the opening of its connection, a leaving state by the sending of its
+        request: a request sent after the margin was answered by the next incarnation, even on a
+        connection opened before that.
         """
         said = BackendNotices()
         if (
@@ -97,5 +101,5 @@
         return said
 
     def matter(self, now_s: float) -> bool:
-        """Return whether anything was said that would still hold if its entry came back."""
+        """Return whether any notice would still apply if the entry of the backend reappeared."""
         return self.leaving_since_s is not None or self.is_resting(now_s)
--- a/src/yokedock/request/backend_registry.py
+++ b/src/yokedock/request/backend_registry.py
@@ -1,6 +1,6 @@
 """Selects the backend for a request from all those that the router knows.
 
-Health is derived from the answers to requests alone; there are no probes.
+Health is derived from the responses to requests alone; there are no probes.
 """
 
 from __future__ import annotations
@@ -21,13 +21,15 @@
 COST_JITTER = 0.05
 REMOTE_ZONE_COST_FACTOR = 1.05
 SILENCE_TIMEOUT_FACTOR = 6.0
-"""Times the expected latency after which another backend is asked; some work is that slow."""
+"""Multiple of the expected latency after which another backend is tried; some requests take that
+long."""
 MIN_SILENCE_TIMEOUT_S = 0.3
-"""Shorter silences happen on every machine: two of its processor quotas and a lost packet."""
+"""Lower bound of the silence timeout: shorter pauses occur on every machine, for example from two
+periods of CPU quota throttling and a lost packet."""
 
 
 class BackendRegistry(BackendList):
-    """A backend list that also tells which backends may be used and which should answer soonest."""
+    """A backend list that also provides the usable backends and the one with the lowest cost."""
 
     def __init__(
         self,
@@ -45,7 +47,7 @@
         """Returns how many connections this router may have to a backend of a service."""
 
     def set_changing(self, router: str, engines: tuple[str, ...]) -> None:
-        """Note which engines change their role by an order of ``router``."""
+        """Record which engines are changing their role by order of ``router``."""
         if self._changing.get(router, ()) == engines:
             return
         if engines:
@@ -59,17 +61,17 @@
         return name in self._all_changing
 
     def note_waiting(self, service: str, count: int, since_s: float) -> None:
-        """Note how many requests wait here for the backends of a service.
+        """Record how many requests wait here for the backends of a service.
 
-        ``since_s``: since when the first of them does (boot time). The other routers hear of it if
-        there are permits that they take in order.
+        ``since_s`` is the boot time since which the oldest waits. The other routers are informed if
+        a backend has a rate limit, because permits are taken in order of waiting time.
         """
         self.limits.note_waiting(service, count, since_s)
         if any(backend.limit.rate is not None for backend in self.members(service, None)):
             self.limits.on_change()
 
     def granted_per_s(self, service: str, role: str | None = None) -> float | None:
-        """Return what the backends that stay take together, None if one of them has no limit."""
+        """Return the combined rate of the backends that stay, None if one of them has no limit."""
         found = self.members(service, role)
         return granted_per_s(b.limit for b in found if b.leaving_since_s is None)
 
@@ -79,7 +81,7 @@
         return max((rate.waiting_elsewhere() for rate in rates if rate is not None), default=0)
 
     def levels(self) -> dict[str, float]:
-        """Return how many backends said that they leave, want rest now, or name a limit."""
+        """Return how many backends are leaving, asked for back-off, or have a rate limit."""
         now_s = self._clock()
         notices = [backend.notices for backend in self._backends.values()]
         return {
@@ -89,10 +91,10 @@
         }
 
     def usable(self, service: str, role: str | None = None) -> list[Backend]:
-        """Return the backends of a service that may be used, sound ones if there are any.
+        """Return the usable backends of a service, only healthy ones if there are any.
 
-        Never one that has asked for rest, or has no permit or connection left, also where no other
-        is there.
+        Backends in back-off and those without a free permit or connection are excluded, even if no
+        other is left.
         """
         now_s = self._clock()
         share = self.connection_share(service)
@@ -100,13 +102,13 @@
         return _healthiest([b for b in found if b.outstanding < share and b.may_take(now_s)], now_s)
 
     def present(self, service: str) -> list[Backend]:
-        """Return the backends of a service that may be used now or after their rest."""
+        """Return the backends of a service that may be used now or after their back-off."""
         return _healthiest(self.members(service, None), self._clock())
 
     def rest_left_s(self, service: str, role: str | None = None) -> float:
-        """Return the seconds until a backend may be used where all rest or have no permit left.
+        """Return the seconds until a backend is usable, if all are in back-off or have no permit.
 
-        It is 0 if one may be used now, and where there is none.
+        Returns 0 if one is usable now, or if there is none.
         """
         if self.usable(service, role):
             return 0.0
@@ -115,7 +117,7 @@
         return min((b.available_in_s(now_s) for b in staying), default=0.0)
 
     def freed_per_s(self, service: str) -> float:
-        """Return how many connections come free in a second where all are in use, else 0."""
+        """Return how many connections become free per second if all are in use, else 0."""
         if self.usable(service) or self.rest_left_s(service):
             return 0.0
         now_s = self._clock()
@@ -124,20 +126,20 @@
         return sum(b.outstanding / b.health.expected_latency_s(now_s, typical_s) for b in staying)
 
     def supply(self, service: str) -> ServiceSupply:
-        """Return when and how fast the backends of a service take requests again."""
+        """Return when and at what rate the backends of a service accept requests again."""
         return ServiceSupply(
             self.rest_left_s(service), self.granted_per_s(service), self.freed_per_s(service)
         )
 
     def next_permit_s(self, service: str, role: str | None = None) -> float | None:
-        """Return the seconds until a limited backend has a permit for this router again."""
+        """Return the seconds until a rate-limited backend has a permit for this router again."""
         now_s = self._clock()
         found = [b for b in self.members(service, role) if b.limit.rate is not None]
         waits_s = [wait_s for b in found if (wait_s := b.limit.wait_s(now_s)) > 0]
         return min(waits_s, default=None)
 
     def cheapest(self, service: str, without: frozenset[str] = frozenset()) -> Backend | None:
-        """Return the backend that should answer soonest, None if there is none."""
+        """Return the backend with the lowest expected cost, None if there is none."""
         usable = [b for b in self.usable(service) if b.name not in without]
         if not usable:
             return None
@@ -149,7 +151,7 @@
         return typical_latency_s(self.usable(service))
 
     def patience_s(self, backend: Backend) -> float:
-        """Return the time after which a backend's silence says that no answer will come."""
+        """Return the time without data after which the response of a backend is given up."""
         typical_s = self.typical_latency_s(backend.entry.service)
         expected_s = backend.health.expected_latency_s(self._clock(), typical_s)
         return max(MIN_SILENCE_TIMEOUT_S, SILENCE_TIMEOUT_FACTOR * expected_s)
@@ -170,7 +172,7 @@
 
 
 def _healthiest(found: list[Backend], now_s: float) -> list[Backend]:
-    """Return those that stay and are sound, else those that stay, else who may be a last resort."""
+    """Return the healthy backends that stay, else all that stay, else the last resorts."""
     staying = [backend for backend in found if backend.leaving_since_s is None]
     sound = [backend for backend in staying if now_s >= backend.health.suspect_until_s]
     return sound or staying or [b for b in found if b.may_take_as_last_resort(now_s)]
--- a/src/yokedock/request/backend_talk.py
+++ b/src/yokedock/request/backend_talk.py
@@ -1,7 +1,7 @@
-"""What routers tell each other of backends: who broke answers off, who leaves, who names a limit.
+"""Gossip between routers about backends: cut-off responses, leaving states and rate limits.
 
-Only what a router saw itself is told: what it heard would go round for ever. What is heard counts
-from ``told_s`` (boot time), from now if that is None.
+A router sends only what it observed itself, because forwarded reports would circulate for ever.
+Received reports are dated ``told_s`` (boot time), or now if that is None.
 """
 
 from __future__ import annotations
@@ -11,20 +11,21 @@
 from yokedock.request.backend_registry import BackendRegistry
 
 BROKEN_GOSSIP_S = 1.0
-"""Routers tell of a backend for so long after it broke an answer off: several datagrams, of which
-some may be lost. One that fails at once looks empty, and would draw a request from each router."""
+"""How long routers report a backend after it cut off a response: in several datagrams, some of
+which may be lost. A backend that fails at once appears idle, and would otherwise receive a request
+from each router."""
 PERCENT = 100
 
 
 class BackendTalk:
-    """Speaks and hears for the backends of one router."""
+    """Provides and applies the gossip about the backends of one router."""
 
     def __init__(self, registry: BackendRegistry) -> None:
-        """Tell of the backends in ``registry``, and have it learn what is heard."""
+        """Report the backends in ``registry``, and apply received reports to it."""
         self._registry = registry
 
     def broken(self) -> dict[str, int]:
-        """Return the share of failures, in percent, of backends that broke an answer lately."""
+        """Return the failure rate, in percent, of backends that cut off a response recently."""
         now_s = self._registry.now_s()
         oldest_s = now_s - BROKEN_GOSSIP_S
         return {
@@ -34,7 +35,7 @@
         }
 
     def heard_broken(self, broken: dict[str, int], told_s: float | None = None) -> None:
-        """Take in what another router told of backends that broke answers."""
+        """Apply another router's report on backends that cut off responses."""
         told_s = self._registry.now_s() if told_s is None else told_s
         for name, percent in broken.items():
             backend = self._registry.get(name)
@@ -42,14 +43,16 @@
                 backend.health.note_told(percent / PERCENT, told_s)
 
     def said_leaving(self) -> tuple[str, ...]:
-        """Return the backends whose answers said here a moment ago that they leave."""
+        """Return the backends that recently reported in responses to this router that they are
+        leaving.
+        """
         oldest_s = self._registry.now_s() - LEAVING_GOSSIP_S
         return tuple(
             b.name for b in self._registry.lives() if b.notices.observed_leaving_s >= oldest_s
         )
 
     def heard_leaving(self, names: tuple[str, ...], told_s: float | None = None) -> None:
-        """Take in of which backends another router heard that they leave."""
+        """Apply another router's report on backends that are leaving."""
         told_s = self._registry.now_s() if told_s is None else told_s
         for name in names:
             backend = self._registry.get(name)
@@ -57,7 +60,7 @@
                 backend.record_remote_leaving(told_s)
 
     def limits(self) -> dict[str, LimitShare]:
-        """Return what this router has of the limits that backends name."""
+        """Return this router's state of the rate limits of backends."""
         now_s = self._registry.now_s()
         shares = ((b.name, b.limit.share(now_s)) for b in self._registry.lives())
         return {name: share for name, share in shares if share is not None}
@@ -65,7 +68,7 @@
     def heard_limits(
         self, router: str, told: dict[str, LimitShare], told_s: float | None = None
     ) -> None:
-        """Take in what another router told of limits."""
+        """Apply another router's state of rate limits."""
         now_s = self._registry.now_s()
         told_s = now_s if told_s is None else told_s
         for name, share in told.items():
@@ -74,7 +77,7 @@
                 backend.limit.heard(router, share, now_s, told_s)
 
     def forget_limits(self, router: str) -> None:
-        """Drop what waits at a router that is heard no longer."""
+        """Drop the waiting requests of a router that is no longer heard from."""
         for backend in self._registry.lives():
             if backend.limit.rate is not None:
                 backend.limit.rate.forget(router)
--- a/src/yokedock/request/connection_shares.py
+++ b/src/yokedock/request/connection_shares.py
@@ -1,8 +1,8 @@
-"""How many connections a router may have to a backend, of those that it takes from all routers.
+"""Divides the connections that a backend accepts equally between the routers.
 
-Pattern: equal shares of a count. A backend resets what goes beyond, and says to nobody that it has
-not run what was on its way: so no router may find the end by trying. Connections that rest count as
-those in use do, or a router that starts would find none left.
+A backend resets connections beyond its limit without saying that it did not run the requests on
+them, so a router must not find the limit by trying. Idle connections count like those in use, as
+otherwise a newly started router would find none left.
 """
 
 from __future__ import annotations
@@ -13,15 +13,16 @@
 from yokedock.version.route_table import ServiceSpec
 
 USABLE_SHARE = 0.9
-"""Share of a backend's connections that is used. The rest is for calls that are no requests, for
-connections that it has not yet seen closed, and for routers that are not known yet."""
+"""Share of a backend's connections that is used. The rest is left for calls other than requests,
+for connections whose closing the backend has not yet noticed, and for routers that are not known
+yet."""
 
 
 class ConnectionShares:
-    """The shares of one router."""
+    """The connection shares of one router."""
 
     def __init__(self, routers: Callable[[], int] = lambda: 1) -> None:
-        """``routers`` counts all that may have connections, this one and silent ones included."""
+        """``routers`` counts all that may have connections, including this one and silent ones."""
         self._routers = routers
 
     def most(self, service: ServiceSpec) -> int:
--- a/src/yokedock/request/list_restoration.py
+++ b/src/yokedock/request/list_restoration.py
@@ -1,6 +1,6 @@
 """Reconciles the list of backends after its source has been restored from a backup.
 
-The backup lacks the newest changes: a backend that is missing from it may be written again shortly,
+The backup lacks the latest changes: a backend that is missing from it may be written again shortly,
 and one that is ready in it may have announced that it leaves, or have been removed, since.
 """
 
@@ -23,14 +23,14 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True):
-    """A leaving state or a removal that the list reported of one life."""
+    """A leaving state or a removal that the list reported of one incarnation."""
 
     reported_s: float
     """When it was last reported (boot time)."""
     is_leaving: bool
     """Whether the backend announced that it leaves; otherwise its entry was only removed."""
     revision: int
-    """Of the entry before the withdrawal: entries of a backup have no higher one."""
+    """Revision of the entry before the withdrawal: entries of a backup have no higher one."""
 
 
 class AppliedHistory(msgspec.Struct, frozen=True):
@@ -44,8 +44,8 @@
     def contains(self, entry: BackendEntry) -> bool:
         """Return whether a restored entry was written within this history.
 
-        Revisions are assigned again after a restore, so the life must also have started before
-        ``applied_ms``. False for an entry without the start time of its life.
+        Revisions are assigned again after a restore, so the incarnation must also have started
+        before ``applied_ms``. False for an entry without the start time of its incarnation.
         """
         return entry.revision <= self.revision and 0 < entry.born_ms <= self.applied_ms
 
@@ -59,17 +59,17 @@
     def __init__(self) -> None:
         """Start empty."""
         self._withdrawn: dict[str, Withdrawal] = {}
-        """By the name of the life."""
+        """By incarnation name."""
         self._missing: dict[str, float] = {}
         """Until when backends that the backup lacks stay listed, by identifier."""
         self._held: dict[str, float] = {}
-        """Since when a restored entry lists a withdrawn life as ready, by its name."""
+        """Since when a restored entry lists a withdrawn incarnation as ready, by its name."""
 
     def record_withdrawal(self, name: str, is_leaving: bool, revision: int, now_s: float) -> None:
-        """Record that the list reports a life as leaving, or no longer contains it.
+        """Record that the list reports an incarnation as leaving, or no longer contains it.
 
-        ``revision`` is that of its last ready entry, or of its first known entry. Ends the hold
-        of the life because the list confirms the withdrawal.
+        ``revision`` is that of its last ready entry, or of its first known entry. Ends the hold of
+        the incarnation because the list confirms the withdrawal.
         """
         self._held.pop(name, None)
         before = self._withdrawn.get(name)
@@ -80,12 +80,12 @@
         self._withdrawn[name] = Withdrawal(now_s, is_leaving, before.revision)
 
     def clear_withdrawal(self, name: str) -> None:
-        """Drop the withdrawal of a life that is listed as ready again."""
+        """Drop the withdrawal of an incarnation that is listed as ready again."""
         self._withdrawn.pop(name, None)
         self._held.pop(name, None)
 
     def release(self, name: str) -> None:
-        """Stop holding a life whose entry was written after the restore."""
+        """Stop holding an incarnation whose entry was written after the restore."""
         self._held.pop(name, None)
 
     def begin(self, listed: Iterable[str], restored: Container[str], now_s: float) -> None:
@@ -94,7 +94,7 @@
         self._missing = {instance: until_s for instance in listed if instance not in restored}
 
     def hold(self, name: str, now_s: float) -> None:
-        """Keep a life from the restored list out of use if it was withdrawn before.
+        """Keep an incarnation from the restored list out of use if it was withdrawn before.
 
         Each restore starts the hold time again.
         """
@@ -102,7 +102,7 @@
             self._held[name] = now_s
 
     def is_held(self, name: str, revision: int) -> bool:
-        """Return whether a life stays withdrawn although its entry is ready.
+        """Return whether an incarnation stays withdrawn although its entry is ready.
 
         An entry with a higher ``revision`` than before the withdrawal was written after the
         restore.
@@ -110,7 +110,7 @@
         return name in self._held and revision <= self._withdrawn[name].revision
 
     def is_leaving(self, name: str) -> bool:
-        """Return whether a life announced that it leaves, and has not been ready since."""
+        """Return whether an incarnation announced that it leaves, and has not been ready since."""
         withdrawal = self._withdrawn.get(name)
         return withdrawal is not None and withdrawal.is_leaving
 
@@ -130,7 +130,7 @@
         return expired
 
     def pop_confirmed(self, now_s: float) -> list[str]:
-        """Remove and return the names of removed lives whose restored entries did not expire."""
+        """Remove and return the names of removed incarnations with restored entries that remained."""
         confirmed = [
             name
             for name, since_s in self._held.items()
@@ -142,7 +142,7 @@
         return confirmed
 
     def drop_expired(self, listed: Container[str], now_s: float) -> None:
-        """Drop expired withdrawals of lives that are not in ``listed``, by name."""
+        """Drop expired withdrawals of incarnations that are not in ``listed``, by name."""
         oldest_s = now_s - WITHDRAWAL_RETENTION_S
         for name, withdrawal in list(self._withdrawn.items()):
             if withdrawal.reported_s < oldest_s and name not in listed:
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -1,14 +1,14 @@
-"""Which requests end the backends that run them, and are kept from backends for a while.
+"""Detects requests that crash the backends that run them, and quarantines these requests.
 
-Pattern: a request crashes every engine which begins to run it. Its caller sends it again, with a
-new id, to any router; with two attempts a try, one request ended sixteen engines of a fleet of five
-in ten seconds, each as soon as it was back, and took every sound stream on them along.
+Some requests crash every engine that starts to run them, and callers retry with a new request id at
+any router. With two attempts per call, one such request crashed sixteen engines of a fleet of five
+within ten seconds, each as soon as it had restarted, together with all healthy streams on them.
 
-What is kept hangs on the request itself (its digest), never on its caller, route or service: other
-requests of the same caller go on. Blame is spread over all that was sent to a backend that ended,
-so three things keep sound requests out of quarantine: a backend that answers after all has not
-ended, a request that is answered is sound, and an end that a stronger suspect was part of is put
-down to that one alone.
+Records are kept by the digest of the request, not by caller, route or service, so other requests of
+the same caller are still served. A crash is attributed to every request that was at the backend.
+Three rules keep harmless requests out of quarantine: a backend that responds to a later request has
+not crashed, a request that was answered is harmless, and a crash at which a stronger suspect was
+present is attributed to that suspect alone.
 """
 
 from __future__ import annotations
@@ -27,86 +27,87 @@
 _log = logger("poison")
 
 MIN_CRASHES = 3
-"""Ends that nothing else explains, after which a request is in quarantine whatever else was there:
-the platform's figure for a request that is not to be sent on."""
+"""Crashes without a stronger suspect after which a request is quarantined regardless of the other
+requests that were present: the platform's threshold for requests that must not be forwarded."""
 MIN_EXCLUSIVE_CRASHES = 2
-"""The same where no other request was at both backends. Waiting for the third would cost a fifth of
-a fleet of five for some seconds."""
+"""The same if no other request was at both backends. Waiting for a third crash would cost a fifth
+of a fleet of five for some seconds."""
 IMMEDIATE_CRASH_S = 0.01
-"""An end sooner after the request was sent is weak evidence: the backend may have been gone, or
-have reset one connection too many. It counts towards three ends, not towards two."""
+"""A crash sooner after the request was sent is weak evidence: the backend may already have been
+gone, or have reset a connection beyond its limit. It counts towards ``MIN_CRASHES`` only."""
 SETTLE_S = 0.1
-"""A pair counts once it is so old: routers tell each other of what else was at a backend within
-10 ms and the way of a datagram, and each word is said again while one may be lost."""
+"""Minimum age of two crashes before they count: routers report within 10 ms plus the datagram's
+transit time which other requests were at a backend, and repeat each report in case one is lost."""
 FORGOTTEN_S = 600.0
-"""So long after the last end under a request it is taken for a new one: one that is wrong to blame
-is served again, one that comes all day ends two backends in that time."""
+"""Retention time after the last crash. A request that was blamed wrongly is served again after it,
+and one that is retried all day crashes two backends per such period."""
 TELL_S = 1.0
-"""A router tells of an end for so long after it saw it: several datagrams, some may be lost."""
+"""How long a router reports a crash that it saw: in several datagrams, some of which may be lost.
+"""
 MAX_GOSSIPED_REQUESTS = 16
-"""Requests in one datagram, those with the most ends first: 25 bytes each."""
+"""Requests in one datagram, those with the most crashes first: 25 bytes each."""
 MOST_ENDS = 8
-"""Ends kept of one request."""
+"""Crashes kept of one request."""
 MOST_KEPT = 2_048
-"""Requests kept, 0.6 MB; the ones whose last end is oldest go first."""
+"""Requests kept, 0.6 MB; those with the oldest last crash are dropped first."""
 
 
 class BackendCrash(msgspec.Struct, frozen=True):
-    """The end of one life of a backend while it had the request."""
+    """The crash of one backend incarnation while it had the request."""
 
     ended_s: float
-    """When (boot time, s)."""
+    """When it was detected (boot time, s)."""
     is_quick: bool = False
-    """Whether it came as soon as the request was sent."""
+    """Whether it came immediately after the request was sent."""
 
 
 class Suspect(msgspec.Struct, eq=False):
-    """A request under which backends ended."""
+    """A request that was in progress at backends that crashed."""
 
     digest: int
     ends: dict[int, BackendCrash] = msgspec.field(default_factory=dict)
-    """By the number of the backend's life."""
+    """By incarnation number of the backend."""
     last_observed_s: float = 0.0
-    """When this router itself saw the newest of them (boot time, s)."""
+    """When this router itself saw the latest of them (boot time, s)."""
 
     def last_s(self) -> float:
-        """Return when the newest end was."""
+        """Return the time of the latest crash."""
         return max(end.ended_s for end in self.ends.values())
 
     def lives(self, is_quick: bool) -> tuple[int, ...]:
-        """Return the numbers of the lives that ended quickly, or of the others."""
+        """Return the numbers of the incarnations that crashed immediately, or of the others."""
         return tuple(life for life, end in self.ends.items() if end.is_quick == is_quick)
 
 
 def life_number(instance: str) -> int:
-    """Return a short name for one life of a backend: the same at every router."""
+    """Return a short identifier for a backend incarnation that is the same on every router."""
     return zlib.crc32(instance.encode())
 
 
 class PoisonRequests:
-    """Suspects by digest, from this router's own exchanges and from what others tell.
+    """Suspects by digest, from this router's own exchanges and from reports of other routers.
 
-    ``on_change`` is called whenever a request may have come into quarantine, ``on_end`` when this
-    router saw an end: the others are to hear of it at once.
+    ``on_change`` is called whenever a request may have become quarantined, ``on_end`` when this
+    router itself saw a crash, which it should report to the others at once.
     """
 
     def __init__(self, is_used: bool = True, clock: Callable[[], float] = boot_time_s) -> None:
-        """Start without suspects; if not ``is_used``, stay so."""
+        """Start without suspects; record none unless ``is_used``."""
         self._is_used = is_used
         self._clock = clock
         self._suspects: dict[int, Suspect] = {}
         self._by_incarnation: dict[int, set[int]] = {}
-        """Digests of what was at a backend as it ended, by the life's number."""
+        """Digests of the requests that were at a backend when it crashed, by incarnation number."""
         self._logged: set[int] = set()
         self.on_change: Callable[[], None] = lambda: None
         self.on_end: Callable[[], None] = lambda: None
         self.refused = 0
-        """Requests that were kept from backends since the start."""
+        """Number of requests that were not forwarded because of quarantine."""
 
-    # --- What exchanges with backends showed ---
+    # --- Results of exchanges with backends ---
 
     def note_end(self, digest: int, life: int, since_sent_s: float) -> None:
-        """Note that a backend closed ``since_sent_s`` after it got the request."""
+        """Record that a backend closed the connection ``since_sent_s`` after the request was sent."""
         if not self._is_used:
             return
         now_s = self._clock()
@@ -116,17 +117,18 @@
         self.on_change()
 
     def note_alive(self, life: int, sent_s: float) -> None:
-        """Note that a backend answered what was sent at ``sent_s``: it had not ended before.
+        """Record that a backend answered a request sent at ``sent_s``: it had not crashed before
+        that.
 
-        An answer to something older proves nothing, however late it is read: it may have lain here
-        while this process stood still.
+        The time at which the response is read proves nothing: it may have been waiting in a buffer
+        while this process was suspended.
         """
         for digest in list(self._by_incarnation.get(life, ())):
             if self._suspects[digest].ends[life].ended_s < sent_s:
                 self._remove(digest, life)
 
     def note_sound(self, digest: int) -> None:
-        """Note that the request was answered whole: it does not end what runs it."""
+        """Record that the request was answered completely, so it doesn't crash backends."""
         suspect = self._suspects.get(digest)
         if suspect is not None:
             self._drop(suspect)
@@ -138,17 +140,15 @@
         return bool(self._suspects)
 
     def require_not_quarantined(self, digest: int) -> None:
-        """Raise ``RequestQuarantined`` for a request that is kept from backends."""
+        """Raise ``RequestQuarantined`` if the request is quarantined."""
         left_s = self.quarantined_for_s(digest)
         if left_s:
             self.refused += 1
-            message = (
-                "backends ended under this request again and again; change it, or send it later"
-            )
+            message = "this request has crashed backends repeatedly; change it, or retry it later"
             raise RequestQuarantined(message, left_s)
 
     def quarantined_for_s(self, digest: int) -> float:
-        """Return for how long the request is still kept from backends, 0.0 if it is not."""
+        """Return the remaining quarantine of a request in seconds, 0.0 if there is none."""
         suspect = self._suspects.get(digest)
         if suspect is None or not self._is_poison(suspect):
             return 0.0
@@ -177,7 +177,7 @@
         return not set.intersection(*others)
 
     def _attributed_crashes(self, suspect: Suspect) -> set[int]:
-        """Return the ends at which no stronger suspect was present."""
+        """Return the incarnations of a suspect's crashes at which no stronger suspect was present."""
         if len(suspect.ends) < MIN_EXCLUSIVE_CRASHES:
             return set()
         return {
@@ -188,23 +188,23 @@
         most = max(len(self._suspects[digest].ends) for digest in self._by_incarnation[life])
         return most > max(ends, MIN_EXCLUSIVE_CRASHES)
 
-    # --- Between routers ---
+    # --- Gossip between routers ---
 
     def told(self) -> tuple[SuspectRequest, ...]:
-        """Return what the other routers are to hear: what this one saw a moment ago."""
+        """Return the report for the other routers: what this one saw recently."""
         oldest_s = self._clock() - TELL_S
         return self._gossip_records(
             s for s in self._suspects.values() if s.last_observed_s >= oldest_s
         )
 
     def told_to_newcomer(self) -> tuple[SuspectRequest, ...]:
-        """Return what a router that has just started is to hear: all of any weight."""
+        """Return the report for a router that has just started: all suspects with several crashes."""
         return self._gossip_records(
             s for s in self._suspects.values() if len(s.ends) >= MIN_EXCLUSIVE_CRASHES
         )
 
     def _gossip_records(self, suspects: Iterable[Suspect]) -> tuple[SuspectRequest, ...]:
-        # What will soon be forgotten is not told: two routers would remind each other for ever.
+        # Suspects about to expire are not reported: two routers would keep renewing each other's.
         now_s = self._clock()
         fresh = [s for s in suspects if s.last_s() > now_s - FORGOTTEN_S + TELL_S]
         fresh.sort(key=lambda s: (len(s.ends), s.last_s()), reverse=True)
@@ -214,16 +214,16 @@
         )
 
     def heard(self, told: tuple[SuspectRequest, ...], told_s: float | None = None) -> None:
-        """Take in what another router told, just now or at ``told_s`` (boot time)."""
+        """Apply another router's report, sent at ``told_s`` (boot time) or now."""
         if not told or not self._is_used:
             return
         told_s = self._clock() if told_s is None else told_s
-        # The same is said several times: only what is new is looked at.
+        # Reports are repeated: only new crashes count as a change. The list makes all be merged.
         if any([self._merge(request, told_s) for request in told]):
             self.on_change()
 
     def _merge(self, request: SuspectRequest, told_s: float) -> bool:
-        """Take in what was told of one request; return whether it is news."""
+        """Merge the report on one request; return whether it contained new crashes."""
         ended_s = told_s - request.age_s
         known = self._suspects.get(request.digest)
         has_changed = False
@@ -234,10 +234,10 @@
                     has_changed = True
         return has_changed
 
-    # --- Upkeep ---
+    # --- Maintenance ---
 
     def drop_old(self) -> None:
-        """Forget requests whose last end is long ago, and the oldest of too many."""
+        """Drop requests whose last crash is long ago, and the oldest beyond the maximum number."""
         oldest_s = self._clock() - FORGOTTEN_S
         by_age = sorted(self._suspects.values(), key=Suspect.last_s)
         surplus = max(0, len(by_age) - MOST_KEPT)
@@ -246,11 +246,11 @@
                 self._drop(suspect)
 
     def size(self) -> int:
-        """Return how many requests are suspects."""
+        """Return the number of suspects."""
         return len(self._suspects)
 
     def levels(self) -> dict[str, float]:
-        """Return what operators see: requests kept from backends since the start."""
+        """Return the metric of requests that were not forwarded because of quarantine."""
         return {"requests_quarantined": self.refused}
 
     def _add(self, digest: int, life: int, end: BackendCrash) -> None:
--- a/src/yokedock/request/quarantine.py
+++ b/src/yokedock/request/quarantine.py
@@ -1,7 +1,7 @@
-"""Ends the work for requests in quarantine: those that come, that wait, and that were sent already.
+"""Cancels calls whose request is quarantined: on arrival, while queued, or already at a backend.
 
-A request may wait for room, or in an engine's queue, while it becomes known elsewhere that it ends
-whoever runs it. Its caller is told at once, and an engine drops what its connection drops.
+A request may be queued here or in an engine when other routers detect that it crashes backends. Its
+caller gets an error at once, and the engine drops the request when its connection is closed.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 from yokedock.router_errors import BackendAnswerLost
 
 TIMER_SLACK_S = 0.005
-"""The second look after a pair has settled comes so much later: timers may be early by a tick."""
+"""Delay of the recheck beyond the settling time: timers may fire early by one clock tick."""
 
 
 class QuarantineGuard:
-    """Watches over the calls of one router while they are served."""
+    """Monitors the calls of one router while they are served."""
 
     def __init__(self, requests: PoisonRequests) -> None:
-        """End calls as ``requests`` says."""
+        """Cancel calls according to ``requests``."""
         self._requests = requests
         self._limits: dict[RoutedCall, asyncio.Timeout] = {}
         self._is_recheck_scheduled = False
@@ -31,10 +31,9 @@
 
     @contextlib.asynccontextmanager
     async def served(self, call: RoutedCall) -> AsyncIterator[None]:
-        """Let a call be served, unless it is in quarantine or comes into it before its answer.
+        """Serve a call unless it is quarantined, or becomes so before its response has started.
 
-        Raises ``RequestQuarantined`` where it was not run, ``BackendAnswerLost`` where it may have
-        been.
+        Raises ``RequestQuarantined`` if it was not run, ``BackendAnswerLost`` if it may have been.
         """
         if self._requests.is_known():
             self._requests.require_not_quarantined(call.digest)
@@ -47,15 +46,15 @@
             if not limit.expired():
                 raise
             if call.may_have_run:
-                message = "backends ended under this request; look up whether it ran"
+                message = "backends crashed during this request; check whether it was executed"
                 raise BackendAnswerLost(message) from None
-            message = "backends end under this request; change it, or send it later"
+            message = "this request crashes backends; change it, or retry it later"
             raise RequestQuarantined(message, FORGOTTEN_S) from None
         finally:
             del self._limits[call]
 
     def _look(self) -> None:
-        """End what is in quarantine now, and look again once pairs have settled."""
+        """Cancel quarantined calls now, and check again after the settling time."""
         self._end_quarantined()
         if not self._is_recheck_scheduled and self._limits:
             self._is_recheck_scheduled = True
--- a/src/yokedock/request/request_digest.py
+++ b/src/yokedock/request/request_digest.py
@@ -1,7 +1,7 @@
-"""What makes two attempts the same request: who is asked for what, with which body.
+"""Digest that identifies a request across its attempts, from its method, host, target and body.
 
-An attempt has an id of its own, and a caller's time and position in a stream differ from one to the
-next. Method, host, target and body stay.
+Other headers are left out: each attempt has its own id, and a caller's deadline and stream position
+differ between attempts.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from yokedock.connection.caller_request import CallerRequest
 
 DIGEST_BYTES = 8
-"""Two of a million requests share a digest by chance once in 40 million times."""
+"""Among a million requests, two share a digest by chance once in 40 million cases."""
 
 
 def request_digest(request: CallerRequest) -> int:
-    """Return what is alike for all attempts of one request, and differs between requests."""
+    """Return a digest that is equal for all attempts of a request and differs between requests."""
     head = request.head
     host = (head.get(b"host") or "").lower().encode("latin-1")
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
@@ -26,5 +26,5 @@
 
 
 def digest_text(digest: int) -> str:
-    """Return a digest as logs show it."""
+    """Format a digest for logs."""
     return f"{digest:0{2 * DIGEST_BYTES}x}"
--- a/src/yokedock/request/retry_allowance.py
+++ b/src/yokedock/request/retry_allowance.py
@@ -1,8 +1,8 @@
-"""The retry budget of the whole fleet: each router spends only its own share of it.
+"""Retry budget of the whole fleet, of which each router spends only its own share.
 
-What counts is every arrival at a service beyond the first of each request, in any window. A request
-has its further arrivals set aside when it decides to go on, before it waits for room and connects:
-requests that break at the same moment must not all count on the same room.
+Every arrival at a service beyond the first of each request counts, in any window. A request
+reserves budget when it decides to retry, before it waits for capacity and connects, so that
+requests that fail at the same moment do not all rely on the same remaining budget.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 _log = logger("retries")
 
 USABLE_BUDGET_SHARE = 0.8
-"""Share of the budget that is used. Arrivals are counted one by one; the rest is for requests, that
-a router may count in another window than its arrivals: docs/DESIGN.md has the arithmetic."""
+"""Share of the budget that is used. Arrivals are counted exactly; the margin is for requests, which
+a router may count in a different window than their arrivals: docs/DESIGN.md has the arithmetic."""
 SETTLE_S = 1.0
-"""An arrival counts for so much longer than the window: an engine may take it up after it was sent,
-at most by the time after which a silent engine is given up."""
+"""An arrival counts this much longer than the window: an engine may accept it some time after it
+was sent, at most the time after which an unresponsive engine is given up."""
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
@@ -37,19 +37,19 @@
 
 
 class ServiceCounts(msgspec.Struct, eq=False):
-    """What this router counts for one service; times are those of the clock in use."""
+    """Counts of this router for one service; times are those of the clock in use."""
 
     requests: collections.deque[float] = msgspec.field(default_factory=collections.deque)
     extras: collections.deque[float] = msgspec.field(default_factory=collections.deque)
     set_aside: int = 0
-    """Further arrivals that requests have decided on and that have not happened yet."""
+    """Extra arrivals that requests have reserved and not yet made."""
 
 
 class RequestRetries:
-    """The further arrivals of one request; what is set aside is given back at its end."""
+    """The extra arrivals of one request; unused reservations are released when it ends."""
 
     def __init__(self, allowance: RetryAllowance, service: str, request_id: str) -> None:
-        """Start with nothing set aside."""
+        """Start without a reservation."""
         self._allowance = allowance
         self._service = service
         self._request_id = request_id
@@ -66,24 +66,25 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Give back what was not used."""
+        """Release the unused reservation."""
         self.give_back()
 
     def may_go_on(self, call: RoutedCall, min_left_s: float, is_arrival: bool = True) -> bool:
-        """Return whether another backend may be tried for ``call``; if so, it is paid for.
+        """Return whether ``call`` may try another backend; if so, the budget for it is reserved.
 
-        Not with less than ``min_left_s`` left; ``is_arrival``: the last try reached a backend, so
-        that the next one spends the allowance.
+        At least ``min_left_s`` must be left. ``is_arrival``: the last attempt reached a backend, so
+        the next one uses budget.
         """
         if call.left_s() < min_left_s or not call.may_run_again():
             return False
         return not is_arrival or self.set_aside(1)
 
     def set_aside(self, arrivals: int) -> bool:
-        """Have exactly so many further arrivals set aside; False: the share has no room for them.
+        """Reserve exactly ``arrivals`` further arrivals; return False if the budget doesn't
+        suffice.
 
-        What was set aside before counts towards them, and stays if there is no room: the share may
-        have shrunk in a wait since then.
+        An earlier reservation counts towards them. It remains if the budget doesn't suffice: the
+        share may have shrunk while the request waited.
         """
         more = arrivals - self._set_aside
         if arrivals and not self._allowance.has_room(self._service, more):
@@ -94,16 +95,18 @@
         return True
 
     def note_arrival(self) -> None:
-        """Count a further arrival that happens now, paid from what was set aside."""
+        """Count a further arrival that is made now, using the reservation."""
         if self._set_aside:
             self._set_aside -= 1
             self._allowance.counts(self._service).set_aside -= 1
         else:
-            _log.warning("repeat not set aside", request=self._request_id, service=self._service)
+            _log.warning(
+                "retry without reserved budget", request=self._request_id, service=self._service
+            )
         self._allowance.note_extra(self._service)
 
     def give_back(self) -> None:
-        """Give back what is set aside."""
+        """Release the reservation."""
         self._allowance.counts(self._service).set_aside -= self._set_aside
         self._set_aside = 0
 
@@ -118,15 +121,16 @@
         is_first_start: bool = False,
         clock: Callable[[], float] = boot_time_s,
     ) -> None:
-        """``fleet_size`` returns how many routers share the allowance, this one included.
+        """``fleet_size`` returns how many routers share the allowance, including this one.
 
-        It must count every router that may have spent a share within the window, so also those that
-        are not heard now. ``is_first_start``: nobody can have spent this router's share before it.
+        It must count every router that may have spent a share within the window, including those
+        that are currently silent. ``is_first_start``: this router's share cannot have been spent
+        before.
         """
         self._bounds = bounds
         self._fleet_size = fleet_size
         self._clock = clock
-        # What this router's life before spent is not known, and it counts until this time.
+        # What this router spent before a restart is unknown, and counts until this time.
         self._previous_run_until_s = clock() + (
             0.0 if is_first_start else bounds.window_s + SETTLE_S
         )
@@ -135,7 +139,7 @@
         self._denied = 0
 
     def request(self, service: str, request_id: str = "") -> RequestRetries:
-        """Return the account of a new request; entering it counts the request."""
+        """Return the retry account of a new request; entering its context counts the request."""
         return RequestRetries(self, service, request_id)
 
     def has_room(self, service: str, arrivals: int = 1) -> bool:
@@ -144,7 +148,7 @@
         return len(counts.extras) + counts.set_aside + arrivals <= self._share(counts)
 
     def counts(self, service: str) -> ServiceCounts:
-        """Return what counts now for a service."""
+        """Return the current counts of a service."""
         counts = self._services.setdefault(service, ServiceCounts())
         now_s = self._clock()
         _drop_before(counts.requests, now_s - self._bounds.window_s)
@@ -152,7 +156,7 @@
         return counts
 
     def record_request(self, service: str) -> None:
-        """Count a caller's request."""
+        """Count a request of a caller."""
         self.counts(service).requests.append(self._clock())
 
     def note_extra(self, service: str) -> None:
@@ -161,7 +165,7 @@
         self.counts(service).extras.append(self._clock())
 
     def record_denied(self, service: str, request_id: str, arrivals: int) -> None:
-        """Count and log a repeat that is not made because the budget is spent."""
+        """Count and log a retry that is not made because the budget is spent."""
         self._denied += 1
         counts = self.counts(service)
         _log.info(
@@ -176,18 +180,18 @@
         )
 
     def drop_old(self) -> None:
-        """Drop what lies before the window, and services without anything in it."""
+        """Drop counts older than the window, and services without any left."""
         for service in list(self._services):
             counts = self.counts(service)
             if not (counts.requests or counts.extras or counts.set_aside):
                 del self._services[service]
 
     def size(self) -> int:
-        """Return how many requests and extra arrivals are remembered."""
+        """Return how many requests and extra arrivals are stored."""
         return sum(len(c.requests) + len(c.extras) for c in self._services.values())
 
     def levels(self) -> dict[str, float]:
-        """Return what operators see: repeats made and denied since the start."""
+        """Return the metrics of retries made and denied since the start."""
         return {"retries_made": self._made, "retries_denied": self._denied}
 
     def _share(self, counts: ServiceCounts) -> float:
--- a/src/yokedock/request/service_supply.py
+++ b/src/yokedock/request/service_supply.py
@@ -1,4 +1,4 @@
-"""When the backends of a service take requests again, where none takes one now."""
+"""When the backends of a service accept requests again, if none does now."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 
 class ServiceSupply(msgspec.Struct, frozen=True):
-    """What one look at all backends of a service shows."""
+    """Availability of all backends of a service at one point in time."""
 
     rest_left_s: float
-    """Until a backend may be used again, 0 if one may be now and where there is none."""
+    """Time until a backend may be used again, 0 if one may be used now or there is none."""
     granted_per_s: float | None
-    """What all take together where all have named limits."""
+    """Combined rate limit of all backends, None if one of them has no limit."""
     freed_per_s: float
-    """How many connections come free in a second where all are in use, else 0."""
+    """Connections that become free per second if all are in use, else 0."""
 
     @property
     def moves_in_order(self) -> bool:
-        """Return whether a wait is for permits or connections, which come one after the other."""
+        """Return whether requests wait for permits or connections, which become free one by one."""
         return self.freed_per_s > 0 or self.granted_per_s is not None
 
     def wait_s(self, before: float) -> float:
-        """Return for how long a request waits that has ``before`` others before it.
+        """Return the expected wait of a request with ``before`` others ahead of it.
 
-        Where all backends have named limits, the requests of all routers are taken in turn; where
-        all connections are in use, one goes out for each that comes free.
+        If all backends have rate limits, the requests of all routers are served in turn. If all
+        connections are in use, each one that becomes free serves one request.
         """
         if self.granted_per_s:
             return self.rest_left_s + before / self.granted_per_s
--- a/src/yokedock/request/shared_rate.py
+++ b/src/yokedock/request/shared_rate.py
@@ -1,11 +1,10 @@
-"""A rate that a backend grants to all routers together: one token bucket, of which each has a view.
-
-Pattern: distributed rate limiting by gossip. Each router tells how many permits it has taken and
-who waits for one; whoever hears of a permit takes it from its own view of the bucket. Two routers
-that take the last permit at the same moment overdraw it, and all wait until that is paid back: in
-the long run the fleet takes what is granted, wherever the demand is. Shares that are fixed
-beforehand would leave most of it unused: of 1.3 requests a second one of 370 routers could send one
-in five minutes.
+"""Distributed rate limiting by gossip: one token bucket per backend, shared by all routers.
+
+Each router reports how many permits it has taken and whether requests wait for one, and subtracts
+the permits reported by others from its own view of the bucket. If two routers take the last permit
+at the same moment, the bucket is overdrawn and all wait until it has refilled. Over time the fleet
+therefore uses the granted rate, wherever the demand is. Fixed shares would leave most of it unused:
+of 1.3 requests per second, one of 370 routers could send one in five minutes.
 """
 
 from __future__ import annotations
@@ -18,58 +17,62 @@
 from yokedock.connection.router_state import LimitShare
 
 STEP_S = 0.015
-"""From a permit taken until the other routers know of it: a router speaks at most every 10 ms, and
-the way of a datagram. Who may take a free permit is a step apart."""
+"""Time until other routers know of a taken permit: a router sends at most every 10 ms, plus the
+transit time of the datagram. Routers that compete for a free permit are spaced by this."""
 TIE_S = 0.02
-"""Waits that began nearer to each other than this are tied: addresses decide."""
+"""Waits that began within this time of each other are tied; the router address decides."""
 BURST_S = 0.25
-"""Permits of so much time may be saved up, one at least. It outlasts the steps of a large fleet."""
+"""Permits may accumulate for this long, but at least one. Longer than the steps of a large fleet.
+"""
 LEAST_PER_S = 0.1
-"""A backend that names less is still asked this often, or nobody would hear that its need ended."""
+"""A backend with a lower limit still gets this rate, since otherwise no response would report that
+the limit has ended."""
 BASELINE_WINDOW_S = 1.0
-"""What routers had taken before is not known of those that are heard within this time."""
+"""Permits that a router took before it was first heard from within this time are not counted,
+because it is unknown when they were taken."""
 NO_LIMIT_PER_S = -1.0
-"""Told in the place of a rate that has ended."""
+"""Sent in place of the rate when the limit has ended."""
 LIMIT_END_GOSSIP_S = 1.0
-"""Routers tell of an end for so long: two datagrams at least, of which one may be lost."""
+"""How long routers report the end of a limit: in at least two datagrams, one of which may be lost.
+"""
 
 
 class RouterPermits(msgspec.Struct):
-    """What another router told of its permits at a backend."""
+    """Another router's permits at a backend, as it last reported them."""
 
     taken: int
     waiting: int = 0
     since_s: float = math.inf
-    """Since when its first request waits."""
+    """Since when its oldest request waits."""
 
 
 class SharedRate:
-    """One router's view of the bucket of one backend. Times are seconds of boot time."""
+    """One router's view of the token bucket of one backend. Times are seconds of boot time."""
 
     def __init__(self, own_address: str, now_s: float) -> None:
-        """Start without a limit; ``own_address`` decides ties as the others see them."""
+        """Start without a limit; ``own_address`` breaks ties, as the other routers see it."""
         self._own_address = own_address
         self._random = new_random()
         self.per_s: float | None = None
-        """Requests a second that the backend takes, None if it names no limit."""
+        """Requests per second that the backend accepts, None without a limit."""
         self.heard_s = -math.inf
-        """When the newest answer came that says so, here or at another router."""
+        """When the latest response that states so arrived, here or at another router."""
         self.taken = 0
         """Permits that this router has taken."""
         self._began_s = now_s
         self._others: dict[str, RouterPermits] = {}
         self._available = 0.0
-        """Permits that were free at ``_available_s``; less than 0 if the bucket is overdrawn."""
+        """Permits that were free at ``_available_s``; negative if the bucket is overdrawn."""
         self._available_s = now_s
         self._random_draw = self._random.random()
 
     # --- The limit ---
 
     def note_answer(self, limit_per_s: float | None, sent_s: float, now_s: float) -> bool:
-        """Take in what an answer names; return whether that changes anything.
+        """Apply the limit stated in a response; return whether that changes the limit.
 
-        Its request was sent at ``sent_s``. Answers overtake each other: one to a request that was
-        sent before the newest word came may be older, and can only make the limit stricter.
+        The request was sent at ``sent_s``. Responses can overtake each other: one to a request that
+        was sent before the latest statement arrived may be older, and can only lower the limit.
         """
         is_newer = sent_s >= self.heard_s
         if not is_newer and not _is_stricter(limit_per_s, self.per_s):
@@ -86,21 +89,22 @@
         return True
 
     def is_over(self, now_s: float) -> bool:
-        """Return whether there is no limit any more, and all were told."""
+        """Return whether the limit has ended and the other routers have been informed."""
         return self.per_s is None and now_s > self.heard_s + LIMIT_END_GOSSIP_S
 
     # --- Permits ---
 
     def take(self, now_s: float) -> None:
-        """Take a permit, also one that is not free: what must be sent overdraws the bucket."""
+        """Take a permit even if none is free: a request that has to be sent overdraws the bucket."""
         self.taken += 1
         self._set_available(self._free(now_s) - 1.0, now_s)
 
     def wait_s(self, now_s: float, since_s: float, routers: int) -> float:
-        """Return after what time this router may take a permit, 0 if now.
+        """Return the time until this router may take a permit, 0 if now.
 
-        ``since_s`` is since when its first request waits; one that has just come goes behind all
-        that wait. ``routers`` may have such requests: who begins is drawn anew for each permit.
+        ``since_s`` is when its oldest request began to wait; a new request is placed behind all
+        that wait. ``routers`` is the number of routers that may have new requests at the same time:
+        the order between them is drawn at random for each permit.
         """
         if self.per_s is None:
             return 0.0
@@ -123,10 +127,12 @@
             return name < self._own_address
         return other.since_s < since_s
 
-    # --- What routers tell each other ---
+    # --- Gossip between routers ---
 
     def share(self, now_s: float, waiting: int, since_s: float) -> LimitShare:
-        """Return what is told: ``waiting`` requests wait here, the first since ``since_s``."""
+        """Return the report for other routers; ``waiting`` requests wait, the oldest since
+        ``since_s``.
+        """
         return LimitShare(
             NO_LIMIT_PER_S if self.per_s is None else self.per_s,
             _to_ms(now_s - self.heard_s),
@@ -138,7 +144,7 @@
     def heard(
         self, router: str, told: LimitShare, now_s: float, told_s: float | None = None
     ) -> bool:
-        """Take in what another router told at ``told_s``, just now if that is None.
+        """Apply another router's report, sent at ``told_s`` or now if that is None.
 
         Returns whether the limit changed.
         """
@@ -162,18 +168,18 @@
         return self._apply_limit(limit_per_s, heard_s, now_s)
 
     def forget(self, router: str) -> None:
-        """Drop what waits at a router that is heard no longer; what it took stays taken."""
+        """Drop the waiting requests of a silent router; the permits that it took remain counted."""
         other = self._others.get(router)
         if other is not None:
             other.waiting = 0
 
-    # --- The bucket ---
+    # --- The token bucket ---
 
     def _rate(self) -> float:
         return max(self.per_s or 0.0, LEAST_PER_S)
 
     def _most(self) -> float:
-        """Return how many permits may be saved up."""
+        """Return the maximum number of accumulated permits."""
         return max(1.0, BURST_S * self._rate())
 
     def _free(self, now_s: float) -> float:
