--- a/src/yokedock/request/list_restoration.py
+++ b/src/yokedock/request/list_restoration.py
@@ -130,7 +130,7 @@
         return expired
 
     def pop_confirmed(self, now_s: float) -> list[str]:
-        """Remove and return the names of removed incarnations with restored entries that remained."""
+        """Remove and return the names of removed incarnations with entries that did not expire."""
         confirmed = [
             name
             for name, since_s in self._held.items()
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -107,7 +107,7 @@
     # --- Results of exchanges with backends ---
 
     def note_end(self, digest: int, life: int, since_sent_s: float) -> None:
-        """Record that a backend closed the connection ``since_sent_s`` after the request was sent."""
+        """Record that a backend closed the connection ``since_sent_s`` after a request was sent."""
         if not self._is_used:
             return
         now_s = self._clock()
@@ -120,8 +120,8 @@
         """Record that a backend answered a request sent at ``sent_s``: it had not crashed before
         that.
 
-        The time at which the response is read proves nothing: it may have been waiting in a buffer
-        while this process was suspended.
+        Responses to older requests prove nothing, however late they are read: they may have been
+        buffered while this process was suspended.
         """
         for digest in list(self._by_incarnation.get(life, ())):
             if self._suspects[digest].ends[life].ended_s < sent_s:
@@ -177,7 +177,7 @@
         return not set.intersection(*others)
 
     def _attributed_crashes(self, suspect: Suspect) -> set[int]:
-        """Return the incarnations of a suspect's crashes at which no stronger suspect was present."""
+        """Return the incarnations whose crashes are not explained by a stronger suspect."""
         if len(suspect.ends) < MIN_EXCLUSIVE_CRASHES:
             return set()
         return {
@@ -198,13 +198,14 @@
         )
 
     def told_to_newcomer(self) -> tuple[SuspectRequest, ...]:
-        """Return the report for a router that has just started: all suspects with several crashes."""
+        """Return the report for a newly started router: all suspects with several crashes."""
         return self._gossip_records(
             s for s in self._suspects.values() if len(s.ends) >= MIN_EXCLUSIVE_CRASHES
         )
 
     def _gossip_records(self, suspects: Iterable[Suspect]) -> tuple[SuspectRequest, ...]:
-        # Suspects about to expire are not reported: two routers would keep renewing each other's.
+        # Suspects about to expire are not reported: otherwise two routers would renew each other's
+        # records for ever.
         now_s = self._clock()
         fresh = [s for s in suspects if s.last_s() > now_s - FORGOTTEN_S + TELL_S]
         fresh.sort(key=lambda s: (len(s.ends), s.last_s()), reverse=True)
@@ -218,7 +219,8 @@
         if not told or not self._is_used:
             return
         told_s = self._clock() if told_s is None else told_s
-        # Reports are repeated: only new crashes count as a change. The list makes all be merged.
+        # Reports are repeated, and only new crashes count as a change. ``any`` gets a list, not a
+        # generator, so that every record is merged.
         if any([self._merge(request, told_s) for request in told]):
             self.on_change()
 
--- a/src/yokedock/request/shared_rate.py
+++ b/src/yokedock/request/shared_rate.py
@@ -28,8 +28,8 @@
 """A backend with a lower limit still gets this rate, since otherwise no response would report that
 the limit has ended."""
 BASELINE_WINDOW_S = 1.0
-"""Permits that a router took before it was first heard from within this time are not counted,
-because it is unknown when they were taken."""
+"""For a router first heard from within this time after the limit became known, earlier permits are
+unknown and not counted. For one first heard from later, all permits that it took are counted."""
 NO_LIMIT_PER_S = -1.0
 """Sent in place of the rate when the limit has ended."""
 LIMIT_END_GOSSIP_S = 1.0
@@ -95,7 +95,7 @@
     # --- Permits ---
 
     def take(self, now_s: float) -> None:
-        """Take a permit even if none is free: a request that has to be sent overdraws the bucket."""
+        """Take a permit even if none is free: a request that must be sent overdraws the bucket."""
         self.taken += 1
         self._set_available(self._free(now_s) - 1.0, now_s)
 
