--- a/src/yokedock/request/backend.py
+++ b/src/yokedock/request/backend.py
@@ -44,9 +44,7 @@
         """Return the current load."""
 
     def block_changes(self, after: int) -> BlockChanges:
-        """Return the prompt blocks cached and evicted after change number ``after``; none by
-        default.
-        """
+        """Return the prompt blocks cached and evicted after a change number; none by default."""
         return BlockChanges(after, (), (), True)
 
     @abc.abstractmethod
--- a/src/yokedock/request/backend_exchange.py
+++ b/src/yokedock/request/backend_exchange.py
@@ -183,8 +183,7 @@
             raise BackendBroken(f"{self.backend.name}: response is not signed")
 
     def _matches_request(self, head: AnswerHead) -> bool:
-        """Return whether a response belongs to this request and not to an earlier one on the
-        connection.
+        """Return whether a response is for this request, not an earlier one on the connection.
 
         Statements of the backend about itself are applied in either case.
         """
@@ -302,8 +301,7 @@
                 connection.abort()
 
     def _drop_silent_connections(self, connection: BackendConnection, call: RoutedCall) -> None:
-        """Drop idle connections that may have failed together with this one, and don't retry on
-        any.
+        """Drop idle connections that may have failed with this one, and exclude them from retries.
 
         A connection on which data arrived in the second half of the silent period was still working
         during it, and is kept.
--- a/src/yokedock/request/backend_life.py
+++ b/src/yokedock/request/backend_life.py
@@ -69,9 +69,7 @@
         return _decayed(self.failures, now_s - self.noted_s) if self.failures else 0.0
 
     def expected_latency_s(self, now_s: float, typical_s: float) -> float:
-        """Return the expected latency: the measured one, decaying to the typical one of the
-        service.
-        """
+        """Return the expected latency: the measured one, decaying to the service's typical one."""
         if self.latency_s is None:
             return typical_s
         trust = float(0.5 ** ((now_s - self.noted_s) / LATENCY_HALF_LIFE_S))
@@ -215,15 +213,12 @@
         self._update_leaving_since()
 
     def _update_leaving_since(self) -> None:
-        """Combine list and responses: the earliest report counts; notices in responses are
-        permanent.
-        """
+        """Combine list and responses: the earliest counts; notices in responses are permanent."""
         told = (self.unlisted_since_s, self.notices.leaving_since_s)
         self.leaving_since_s = min((s for s in told if s is not None), default=None)
 
     def end(self, next_born_ms: int) -> None:
-        """Record that a later incarnation has started, and abort the requests that this one has
-        lost.
+        """Record that a later incarnation has started, and abort the requests lost with this one.
 
         Requests that were sent under this name may have reached the next incarnation already,
         before this router learned of its start. Their connections were opened after it and are
@@ -263,9 +258,7 @@
         return max(self.limit.wait_s(now_s), self.notices.backoff_until_s - now_s, 0.0)
 
     def take_permit(self, now_s: float) -> None:
-        """Take a permit for a request that is about to be sent; raises ``BackendUnwilling`` without
-        one.
-        """
+        """Take a permit for a request; raises ``BackendUnwilling`` if there is none."""
         if self.limit.wait_s(now_s) > 0:
             raise BackendUnwilling(f"{self.name} is at its rate limit")
         self.limit.take(now_s)
--- a/src/yokedock/request/backend_talk.py
+++ b/src/yokedock/request/backend_talk.py
@@ -43,9 +43,7 @@
                 backend.health.note_told(percent / PERCENT, told_s)
 
     def said_leaving(self) -> tuple[str, ...]:
-        """Return the backends that recently reported in responses to this router that they are
-        leaving.
-        """
+        """Return the backends that recently announced to this router that they are leaving."""
         oldest_s = self._registry.now_s() - LEAVING_GOSSIP_S
         return tuple(
             b.name for b in self._registry.lives() if b.notices.observed_leaving_s >= oldest_s
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -33,8 +33,9 @@
 """The same if no other request was at both backends. Waiting for a third crash would cost a fifth
 of a fleet of five for some seconds."""
 IMMEDIATE_CRASH_S = 0.01
-"""A crash sooner after the request was sent is weak evidence: the backend may already have been
-gone, or have reset a connection beyond its limit. It counts towards ``MIN_CRASHES`` only."""
+"""A crash within this time after the request was sent is weak evidence: the backend may already
+have been gone, or have reset a connection beyond its limit. It counts towards ``MIN_CRASHES`` only.
+"""
 SETTLE_S = 0.1
 """Minimum age of two crashes before they count: routers report within 10 ms plus the datagram's
 transit time which other requests were at a backend, and repeat each report in case one is lost."""
@@ -42,8 +43,7 @@
 """Retention time after the last crash. A request that was blamed wrongly is served again after it,
 and one that is retried all day crashes two backends per such period."""
 TELL_S = 1.0
-"""How long a router reports a crash that it saw: in several datagrams, some of which may be lost.
-"""
+"""How long a router reports a crash that it saw: in several datagrams, as some may be lost."""
 MAX_GOSSIPED_REQUESTS = 16
 """Requests in one datagram, those with the most crashes first: 25 bytes each."""
 MOST_ENDS = 8
@@ -117,8 +117,7 @@
         self.on_change()
 
     def note_alive(self, life: int, sent_s: float) -> None:
-        """Record that a backend answered a request sent at ``sent_s``: it had not crashed before
-        that.
+        """Record an answer to a request sent at ``sent_s``: the backend had not crashed before.
 
         Responses to older requests prove nothing, however late they are read: they may have been
         buffered while this process was suspended.
--- a/src/yokedock/request/retry_allowance.py
+++ b/src/yokedock/request/retry_allowance.py
@@ -80,8 +80,7 @@
         return not is_arrival or self.set_aside(1)
 
     def set_aside(self, arrivals: int) -> bool:
-        """Reserve exactly ``arrivals`` further arrivals; return False if the budget doesn't
-        suffice.
+        """Reserve exactly ``arrivals`` further arrivals; return whether the budget suffices.
 
         An earlier reservation counts towards them. It remains if the budget doesn't suffice: the
         share may have shrunk while the request waited.
--- a/src/yokedock/request/shared_rate.py
+++ b/src/yokedock/request/shared_rate.py
@@ -22,8 +22,7 @@
 TIE_S = 0.02
 """Waits that began within this time of each other are tied; the router address decides."""
 BURST_S = 0.25
-"""Permits may accumulate for this long, but at least one. Longer than the steps of a large fleet.
-"""
+"""Permits may accumulate for this long, but at least one. Exceeds the steps of a large fleet."""
 LEAST_PER_S = 0.1
 """A backend with a lower limit still gets this rate, since otherwise no response would report that
 the limit has ended."""
@@ -33,8 +32,7 @@
 NO_LIMIT_PER_S = -1.0
 """Sent in place of the rate when the limit has ended."""
 LIMIT_END_GOSSIP_S = 1.0
-"""How long routers report the end of a limit: in at least two datagrams, one of which may be lost.
-"""
+"""How long routers report the end of a limit: at least two datagrams, one of which may be lost."""
 
 
 class RouterPermits(msgspec.Struct):
@@ -130,9 +128,7 @@
     # --- Gossip between routers ---
 
     def share(self, now_s: float, waiting: int, since_s: float) -> LimitShare:
-        """Return the report for other routers; ``waiting`` requests wait, the oldest since
-        ``since_s``.
-        """
+        """Return the report for others: ``waiting`` requests wait, the oldest since ``since_s``."""
         return LimitShare(
             NO_LIMIT_PER_S if self.per_s is None else self.per_s,
             _to_ms(now_s - self.heard_s),
