--- a/src/yokedock/request/attempt.py
+++ b/src/yokedock/request/attempt.py
@@ -281,7 +281,7 @@
         )
 
     def _finish(self, peer: AgentPeerHandle) -> None:
-        """Wait for the end of the stream; resume it on the same engine after a lost link or a gap."""
+        """Wait for the end of the stream; resume it on the same engine after a link loss or gap."""
         while True:
             try:
                 self._stream.wait_end()
--- a/src/yokedock/request/engine_backend.py
+++ b/src/yokedock/request/engine_backend.py
@@ -293,7 +293,7 @@
             raise AttemptLost(f"{self._setup.name}: {error.message}") from None
         if known.is_released:
             self._releaser.submit(attempt)
-            raise AttemptLost("the attempt was released while it ran and has been cancelled")
+            raise AttemptLost("the attempt was released while it ran; cancelling it")
         return result
 
     def _resume(self, order: Resume, send: SendFrame) -> StepFrame:
@@ -328,7 +328,7 @@
     ) -> None:
         if self._is_leaving:
             raise NoBackend(
-                f"{self._setup.name} is shutting down; choose another engine", LEAVING_RETRY_S
+                f"{self._setup.name} is draining; choose another engine", LEAVING_RETRY_S
             )
         if not self.is_ready or not self.is_engine_up:
             raise NoBackend(
--- a/src/yokedock/request/generation_runs.py
+++ b/src/yokedock/request/generation_runs.py
@@ -57,7 +57,7 @@
         Raises ``BackendUnreachable``, because a prefill for an engine that is gone is wasted.
         """
         async with self._exchanges.open(engine, call, has_permit=True):
-            _log.debug("engine reachable", request=call.request_id, engine=engine.name)
+            _log.debug("reached", request=call.request_id, engine=engine.name)
 
     async def prefill(
         self, call: RoutedCall, state: GenerationState, engine: Backend, placement: Placement
--- a/src/yokedock/request/role_plan.py
+++ b/src/yokedock/request/role_plan.py
@@ -1,5 +1,4 @@
-"""Assigns prefill and decode roles: as few prefill engines as needed, since decode memory limits
-throughput."""
+"""Plans engine roles: as few prefill engines as needed, since decode memory is the bottleneck."""
 
 from __future__ import annotations
 
--- a/src/yokedock/request/stream_relay.py
+++ b/src/yokedock/request/stream_relay.py
@@ -77,7 +77,7 @@
         await self._answer.end()
 
     def _is_next(self, event: StreamEvent) -> bool:
-        """Return False for a duplicate; raises ``BackendBroken`` if an event is missing before it."""
+        """Return False for a duplicate; raises ``BackendBroken`` if an earlier event is missing."""
         if event.event_id is None or self.last_id is None:
             return True
         if event.event_id <= self.last_id:
