--- a/features/steps/router_narrow_steps.py
+++ b/features/steps/router_narrow_steps.py
@@ -172,10 +172,10 @@
 
 
 def has_version_within(context, router, version, limit_s):
-    left_s = context.published_s + limit_s - time.monotonic()
+    remaining_s = context.published_s + limit_s - time.monotonic()
 
     async def poll():
-        async with asyncio.timeout(left_s):
+        async with asyncio.timeout(remaining_s):
             while router.version < version:
                 await asyncio.sleep(0.01)
 
--- a/features/steps/router_patience_steps.py
+++ b/features/steps/router_patience_steps.py
@@ -15,7 +15,7 @@
 from support.stream_properties import registry
 
 from yokedock.request.retry_allowance import RetryBounds
-from yokedock.request.stream_watch import StreamWatch
+from yokedock.request.silence_detector import SilenceDetector
 
 PATIENCE_S = 0.2
 COMES_S = 0.05
@@ -153,7 +153,7 @@
     async def play():
         own, other = socket.socketpair()
         reader, writer = await asyncio.open_connection(sock=own)
-        stream = StreamWatch().open(registry("d").get("d"), may_move=True)
+        stream = SilenceDetector().open(registry("d").get("d"), may_move=True)
         waiting = asyncio.create_task(stream.within(PATIENCE_S, reader.read(1)))
         await asyncio.sleep(0)
         threading.Timer(COMES_S, other.send, (b"x",)).start()
--- a/features/steps/silent_steps.py
+++ b/features/steps/silent_steps.py
@@ -212,8 +212,8 @@
     """Return what the router's choice went by, for a failure's message."""
     registry, pace = router._registry, router._ledger.pace
     engines = registry.usable("llm")
-    rates = {e.name: (e.entry.role, round(pace.read_rate(e.name))) for e in engines}
-    failures = {e.name: round(e.health.failure_share(time.monotonic()), 2) for e in engines}
+    rates = {e.name: (e.entry.role, round(pace.prefill_rate(e.name))) for e in engines}
+    failures = {e.name: round(e.health.failure_rate(time.monotonic()), 2) for e in engines}
     resting = {address: len(kept) for address, kept in router._pool._resting.items()}
     return rates, failures, sorted(registry._all_changing), resting
 
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -12,16 +12,17 @@
 
 
 class SleepingTime:
-    """Stands for the time module: ``slept_s`` is added to the clock that counts a suspension."""
+    """Stands for the time module: ``suspended_for_s`` is added to the clock that counts a
+    suspension."""
 
     def __init__(self):
-        self.slept_s = 0.0
+        self.suspended_for_s = 0.0
 
     def __getattr__(self, name):
         return getattr(time, name)
 
     def clock_gettime(self, which):
-        ahead_s = self.slept_s if which == clock._CLOCK else 0.0
+        ahead_s = self.suspended_for_s if which == clock._CLOCK else 0.0
         return time.clock_gettime(which) + ahead_s
 
 
@@ -45,31 +46,33 @@
 
 
 @when("the machine is suspended for {slept_s:f} s")
-def suspend(context, slept_s):
-    sleeping_time(context).slept_s += slept_s
+def suspend(context, suspended_for_s):
+    sleeping_time(context).suspended_for_s += suspended_for_s
     context.told_s = time.monotonic()
 
 
 @when("the backends' open connections fall silent and the machine is suspended for {slept_s:f} s")
-def suspend_and_silence(context, slept_s):
+def suspend_and_silence(context, suspended_for_s):
     sleeping_time(context)
     for backend in context.world.backends.values():
         backend.go_silent()
-    suspend(context, slept_s)
+    suspend(context, suspended_for_s)
     context.world.wait_for(lambda: not context.router._pool.size(), "what rested is dropped")
 
 
 @then("the router tells of {count:d} suspension of {slept_s:f} s")
-def suspension_told(context, count, slept_s):
+def suspension_told(context, count, suspended_for_s):
     levels = context.router._wake.levels()
-    assert levels["suspensions"] == count and abs(levels["suspended_s"] - slept_s) < 0.1, levels
+    assert levels["suspensions"] == count and abs(levels["suspended_s"] - suspended_for_s) < 0.1, (
+        levels
+    )
 
 
 @given("{count:d} repeats were made in this window")
 def repeats_made(context, count):
     sleeping_time(context)
     for _ in range(count):
-        context.router._allowance.note_extra("plain")
+        context.router._allowance.record_extra("plain")
     assert len(context.router._allowance.counts("plain").extras) == count
 
 
--- a/features/support/broken_engine_properties.py
+++ b/features/support/broken_engine_properties.py
@@ -11,7 +11,7 @@
 
 from support.stream_properties import Clock
 from yokedock.request import engine_choice, engine_costs
-from yokedock.request.backend_talk import BackendTalk
+from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.engine_choice import EngineChoice
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.engine_placement import DECODE_ROLE, PREFILL_ROLE, Progress
@@ -75,7 +75,7 @@
         now_s = self.clock.now_s
         ends = [
             (READ_S, lambda: self.ledger.close_prefill(reading, is_done=False)),
-            (STREAM_S, lambda: self.ledger.close_stream(placement.promise)),
+            (STREAM_S, lambda: self.ledger.close_stream(placement.reservation)),
         ]
         if is_lost:
             self.lost += 1
@@ -86,18 +86,18 @@
     def _breaks(self, fleet):
         backend = fleet.registry.get(self.broken)
         if self.falls_silent:
-            backend.health.note_silence(self.clock.now_s)
+            backend.health.record_silence(self.clock.now_s)
         else:
-            backend.health.note_broken(self.clock.now_s)
+            backend.health.record_broken(self.clock.now_s)
         if self.tells:
-            told = BackendTalk(fleet.registry).broken()
+            told = BackendGossip(fleet.registry).broken()
             assert set(told) == {self.broken}
             self._at(self.clock.now_s + NEWS_S, lambda: self._tell(fleet, told))
 
     def _tell(self, teller, told):
         for fleet in self.fleets:
             if fleet is not teller:
-                BackendTalk(fleet.registry).heard_broken(told)
+                BackendGossip(fleet.registry).apply_remote_broken(told)
 
 
 def lost_at_broken(seed, role, tells=True, falls_silent=False):
@@ -130,15 +130,15 @@
     fleet = DecisionFleet(FleetShape(2, 6), 0.3)
     fleet.registry._clock = clock
     backend = fleet.registry.usable(MODEL_SERVICE)[0]
-    BackendTalk(fleet.registry).heard_broken({backend.name: 60, "unknown": 90})
-    assert abs(backend.health.failure_share(clock.now_s) - 0.6) < 0.01
-    BackendTalk(fleet.registry).heard_broken({backend.name: 20})
-    assert abs(backend.health.failure_share(clock.now_s) - 0.6) < 0.01
-    assert BackendTalk(fleet.registry).broken() == {}, "what was only heard is not told on"
-    backend.health.note_answer(clock.now_s, 0.1, is_failure=False)
-    assert backend.health.failure_share(clock.now_s) < 0.5
+    BackendGossip(fleet.registry).apply_remote_broken({backend.name: 60, "unknown": 90})
+    assert abs(backend.health.failure_rate(clock.now_s) - 0.6) < 0.01
+    BackendGossip(fleet.registry).apply_remote_broken({backend.name: 20})
+    assert abs(backend.health.failure_rate(clock.now_s) - 0.6) < 0.01
+    assert BackendGossip(fleet.registry).broken() == {}, "what was only heard is not told on"
+    backend.health.record_answer(clock.now_s, 0.1, is_failure=False)
+    assert backend.health.failure_rate(clock.now_s) < 0.5
     clock.now_s += 12.0
-    assert backend.health.failure_share(clock.now_s) < 0.08
+    assert backend.health.failure_rate(clock.now_s) < 0.08
 
 
 BROKEN_ENGINE_PROPERTIES = {
--- a/features/support/budget_properties.py
+++ b/features/support/budget_properties.py
@@ -94,7 +94,7 @@
             if self.chance.random() < SHARE_UNREACHABLE:
                 retries.give_back()
             elif router is self.routers[number] and not self.is_dead[number]:
-                retries.note_arrival()
+                retries.record_arrival()
                 self.extras.append(self.clock.now_s)
 
     def kill(self, share):
--- a/features/support/call_queue_properties.py
+++ b/features/support/call_queue_properties.py
@@ -7,8 +7,8 @@
 from yokedock.connection.state_source import BackendEntry
 from yokedock.errors import NoBackend
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.opaque_call import OpaqueCalls
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
+from yokedock.request.unary_call import UnaryCalls
 
 SERVICE = "plain"
 SPAN_S = 0.6
@@ -33,23 +33,23 @@
         self.registry.update([BackendEntry("a", SERVICE, "127.0.0.1:1")], ())
         self.name_limit(limit_per_s)
         allowance = RetryAllowance(RetryBounds(0.2, 10.0, 50.0), lambda: 1)
-        self._calls = OpaqueCalls(self.registry, None, allowance)
+        self._calls = UnaryCalls(self.registry, None, allowance)
         self.served = []
         self.refused = []
 
     def name_limit(self, limit_per_s):
         """Have an answer of the backend name a limit."""
         now_s = boot_time_s()
-        self.registry.get("a").limit.note_answer(limit_per_s, now_s, now_s)
+        self.registry.get("a").limit.record_answer(limit_per_s, now_s, now_s)
 
-    def come(self, name, target_in_s, left_s=60.0):
+    def come(self, name, target_in_s, remaining_s=60.0):
         """Let a call come; return its task."""
         now_s = boot_time_s()
         call = types.SimpleNamespace(
             service=types.SimpleNamespace(name=SERVICE),
             request_id=name,
             target_s=now_s + target_in_s,
-            left_s=lambda: now_s + left_s - boot_time_s(),
+            remaining_s=lambda: now_s + remaining_s - boot_time_s(),
         )
         return asyncio.create_task(self._wait(call))
 
@@ -102,7 +102,7 @@
 
     async def play():
         waiting = Waiting(4.0)
-        tasks = [waiting.come(str(n), 3.0 + n / 10, left_s=4.0) for n in range(8)]
+        tasks = [waiting.come(str(n), 3.0 + n / 10, remaining_s=4.0) for n in range(8)]
         await asyncio.sleep(0.01)
         assert not waiting.refused
         waiting.name_limit(0.1)
--- a/features/support/entry_properties.py
+++ b/features/support/entry_properties.py
@@ -5,7 +5,7 @@
 
 from support.stream_properties import Clock
 from yokedock.connection.source_position import SourcePosition
-from yokedock.platform.store import PlatformStore, StoredItem, translate
+from yokedock.platform.store import PlatformStore, StoredItem, items_to_changes
 from yokedock.request.backend_registry import BackendRegistry
 
 GOOD = {
@@ -77,13 +77,13 @@
     for odd in odd_documents():
         clock = Clock()
         registry = BackendRegistry("hall-one", clock)
-        first = translate((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
+        first = items_to_changes((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
         registry.replace_all({entry.instance: entry for entry in first.changed})
-        changes = translate((item("i-1", odd),), SourcePosition(revision=2))
+        changes = items_to_changes((item("i-1", odd),), SourcePosition(revision=2))
         assert changes.undecoded == ("i-1",), odd
         registry.update(changes.changed, changes.gone)
         assert [b.entry.instance for b in registry.usable("llm")] == ["i-2"], odd
-        again = translate((item("i-1", GOOD),), SourcePosition(revision=3))
+        again = items_to_changes((item("i-1", GOOD),), SourcePosition(revision=3))
         registry.update(again.changed, again.gone)
         assert sorted(b.entry.instance for b in registry.usable("llm")) == ["i-1", "i-2"], odd
 
@@ -91,9 +91,9 @@
 def an_odd_entry_of_a_whole_list_names_no_backend():
     """A whole list with one odd entry ends the backend that the id named, and no other."""
     registry = BackendRegistry("hall-one", Clock())
-    first = translate((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
+    first = items_to_changes((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
     registry.replace_all({entry.instance: entry for entry in first.changed})
-    listed = translate((item("i-1", b"?"), item("i-2", GOOD)), SourcePosition(revision=2))
+    listed = items_to_changes((item("i-1", b"?"), item("i-2", GOOD)), SourcePosition(revision=2))
     registry.replace_all({entry.instance: entry for entry in listed.changed})
     assert [b.entry.instance for b in registry.usable("llm")] == ["i-2"]
 
@@ -102,7 +102,7 @@
     """Also without the fields that engines of plain services lack, or with unknown ones."""
     plain = {k: v for k, v in GOOD.items() if k not in OPTIONAL}
     for document, born_ms, role in ((GOOD, GOOD["born"], "decode"), (plain, 0, "")):
-        changes = translate(
+        changes = items_to_changes(
             (item("i-1", document | {"unknown": {"a": 1}}),), SourcePosition(revision=1)
         )
         entry = changes.changed[0]
@@ -114,7 +114,7 @@
     """A configuration that cannot be read leaves the version before in force."""
     for odd in (*ODD_BYTES, b'{"version": "x"}', b'{"routes": []}'):
         document = StoredItem("op/config", base64.b64encode(odd).decode(), 9)
-        changes = translate((document,), SourcePosition(revision=9))
+        changes = items_to_changes((document,), SourcePosition(revision=9))
         assert changes.table is None and changes.undecoded == ("op/config",), odd
 
 
@@ -122,9 +122,9 @@
     """One line for each change of an entry, and little is kept of a flood."""
     store = PlatformStore("127.0.0.1:1")
     odd = [item(f"i-{number}", b"?", number) for number in range(10_000)]
-    assert sum(store.is_news(entry) for entry in odd) == len(odd)
-    assert not store.is_news(odd[-1])
-    assert store.is_news(item("i-9999", b"?!", 20_000))
+    assert sum(store.is_unreported(entry) for entry in odd) == len(odd)
+    assert not store.is_unreported(odd[-1])
+    assert store.is_unreported(item("i-9999", b"?!", 20_000))
     assert store.size() <= 1_000
 
 
--- a/features/support/fleet_properties.py
+++ b/features/support/fleet_properties.py
@@ -8,7 +8,7 @@
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import Progress
 from yokedock.request.mechanisms import Mechanisms
-from yokedock.request.placement_queue import QueuedPlacement
+from yokedock.request.queued_placement import QueuedPlacement
 from yokedock.request.waiter import Turn
 
 LEAST_GAP_S = 0.01
@@ -98,7 +98,7 @@
             taken = routers[0].ledger.open_stream(whole)
             for index in placed:
                 router = routers[index]
-                router.ledger.close_stream(waiting[index].result().promise)
+                router.ledger.close_stream(waiting[index].result().reservation)
                 again = router.placement.place(generation(boot_time_s(), 700), Progress())
                 waiting[index] = asyncio.create_task(again)
             await asyncio.sleep(0.06)
--- a/features/support/fuzz_properties.py
+++ b/features/support/fuzz_properties.py
@@ -21,7 +21,7 @@
 from yokedock.connection.source_position import SourcePosition
 from yokedock.connection.state_source import BackendEntry, StateSnapshot
 from yokedock.errors import YokedockError
-from yokedock.platform.store import StoredItem, translate
+from yokedock.platform.store import StoredItem, items_to_changes
 from yokedock.process.state_exchange import unpack
 from yokedock.version.route_table import RouteTable
 
@@ -61,7 +61,7 @@
 def entries_are_read_or_refused(document):
     """An entry becomes one whole backend or none."""
     value = base64.b64encode(document).decode()
-    changes = translate((StoredItem("servers/i-1", value, 3),), SourcePosition(revision=3))
+    changes = items_to_changes((StoredItem("servers/i-1", value, 3),), SourcePosition(revision=3))
     assert len(changes.changed) + len(changes.undecoded) == 1
     for entry in changes.changed:
         assert entry.service and entry.slots >= 1 and entry.born_ms >= 0
@@ -76,7 +76,7 @@
 def configurations_are_read_or_refused(document):
     """A configuration becomes a table or nothing."""
     value = base64.b64encode(document).decode()
-    changes = translate((StoredItem("op/config", value, 3),), SourcePosition(revision=3))
+    changes = items_to_changes((StoredItem("op/config", value, 3),), SourcePosition(revision=3))
     assert (changes.table is None) == (changes.undecoded == ("op/config",))
 
 
--- a/features/support/life_properties.py
+++ b/features/support/life_properties.py
@@ -4,8 +4,8 @@
 
 from support.stream_properties import Clock
 from yokedock.connection.state_source import BackendEntry
+from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.backend_talk import BackendTalk
 
 
 def entry(instance, born_ms, role="decode", **fields):
@@ -31,11 +31,11 @@
     clock = Clock()
     registry = registry_of(entry("a", 10), entry("b", 10), clock=clock)
     ended = []
-    registry.on_new_life = ended.append
+    registry.on_restart = ended.append
     before, other = only(registry, "a"), only(registry, "b")
     clock.now_s += 100.0
     for backend in (before, other):
-        backend.health.note_silence(clock.now_s)
+        backend.health.record_silence(clock.now_s)
     old, new = mock.Mock(opened_ms=9_000), mock.Mock(opened_ms=10_100)
     before.connections |= {old, new}
     registry.update([entry("a", 10_000, role="prefill")], ())
@@ -43,11 +43,11 @@
     assert ended == [before] and before.has_ended and not other.has_ended
     old.abort.assert_called_once()
     new.abort.assert_not_called()
-    assert not after.health.is_suspect(clock.now_s) and after.health.failure_share(clock.now_s) == 0
+    assert not after.health.is_suspect(clock.now_s) and after.health.failure_rate(clock.now_s) == 0
     assert other.health.is_suspect(clock.now_s)
     assert after.entry.role == "prefill" and after.life != before.life
-    BackendTalk(registry).heard_broken({before.name: 90})
-    assert after.health.failure_share(clock.now_s) == 0, "told of the life before"
+    BackendGossip(registry).apply_remote_broken({before.name: 90})
+    assert after.health.failure_rate(clock.now_s) == 0, "told of the life before"
     assert registry.entries().keys() == {"a", "b"}
 
 
@@ -69,7 +69,7 @@
     for number in range(1, 700):
         registry.update([entry("a", number)], ())
         clock.now_s += 5.0
-        registry.drop_gone()
+        registry.drop_expired_backends()
         assert len(registry.names()) <= 4, registry.names()
 
 
@@ -81,13 +81,13 @@
     for number in range(2, 8):
         clock.now_s += 4.0
         registry.update([entry("a", number)], ())
-        shares.append(only(registry, "a").health.failure_share(clock.now_s))
+        shares.append(only(registry, "a").health.failure_rate(clock.now_s))
     assert shares[0] == 0.5 and shares == sorted(shares) and shares[-1] > 0.95
     clock.now_s += 12.0
-    assert only(registry, "a").health.failure_share(clock.now_s) < 0.13
+    assert only(registry, "a").health.failure_rate(clock.now_s) < 0.13
     clock.now_s += 30.0
     registry.update([entry("a", 99)], ())
-    assert only(registry, "a").health.failure_share(clock.now_s) == 0, "one restart is no loop"
+    assert only(registry, "a").health.failure_rate(clock.now_s) == 0, "one restart is no loop"
 
 
 def a_restart_of_all_empties_no_fleet():
@@ -100,7 +100,7 @@
         registry.update([entry(name, born_ms) for name in names], ())
         usable = registry.usable("llm")
         assert sorted(b.entry.instance for b in usable) == sorted(names)
-        assert len({b.health.failure_share(clock.now_s) for b in usable}) == 1
+        assert len({b.health.failure_rate(clock.now_s) for b in usable}) == 1
 
 
 def what_is_said_anew_is_not_a_new_life():
--- a/features/support/limit_fleet.py
+++ b/features/support/limit_fleet.py
@@ -61,7 +61,7 @@
         """Take in an answer, which names what was in force as it was made."""
         if self.is_dead:
             return
-        self.rate.note_answer(limit_per_s, sent_s, self.fleet.now_s)
+        self.rate.record_answer(limit_per_s, sent_s, self.fleet.now_s)
         if limit_per_s is not None:
             self.told_s = min(self.told_s, self.fleet.now_s)
         self.change()
--- a/features/support/limit_properties.py
+++ b/features/support/limit_properties.py
@@ -13,10 +13,10 @@
 from yokedock.connection.http_heads import AnswerHead
 from yokedock.connection.router_state import LimitShare
 from yokedock.connection.state_source import BackendEntry
+from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.backend_talk import BackendTalk
 from yokedock.request.connection_shares import ConnectionShares
-from yokedock.request.shared_rate import LEAST_PER_S, SharedRate
+from yokedock.request.shared_rate import MIN_RATE_PER_S, SharedRate
 from yokedock.version.route_table import ServiceSpec
 
 LEAST_USED = 0.95
@@ -158,13 +158,13 @@
     fleet.demand(5.0)
     fleet.play(60.0)
     used = fleet.used(100.0 + SETTLED_S, fleet.now_s)
-    assert 3 <= used <= 60 * LEAST_PER_S + 1, used
+    assert 3 <= used <= 60 * MIN_RATE_PER_S + 1, used
 
 
 def whoever_waits_longest_goes_first():
     """One that has just come goes behind all that wait; ties are decided the same way by both."""
     rate = SharedRate("10.0.0.2", 100.0)
-    rate.note_answer(1.0, 99.0, 100.0)
+    rate.record_answer(1.0, 99.0, 100.0)
     now_s = 102.0
     assert rate.wait_s(now_s, 101.0, 4) == 0.0
     rate.heard("10.0.0.1", LimitShare(1.0, 100, 0, waiting=2, waited_ms=1500), now_s)
@@ -172,7 +172,7 @@
     assert rate.wait_s(101.001, 100.2, 4) == 0.0
     assert rate.wait_s(101.0, 100.495, 4) > 0.0 and rate.wait_s(101.0, 100.505, 4) > 0.0, "tied"
     first = SharedRate("10.0.0.1", 100.0)
-    first.note_answer(1.0, 99.0, 100.0)
+    first.record_answer(1.0, 99.0, 100.0)
     first.heard("10.0.0.2", LimitShare(1.0, 100, 0, waiting=2, waited_ms=1500), now_s)
     assert first.wait_s(101.0, 100.505, 4) == 0.0
     rate.forget("10.0.0.1")
@@ -182,12 +182,12 @@
 def answers_that_overtake_each_other_are_put_in_order():
     """Only an answer to what was sent after the newest word came can make a limit less strict."""
     rate = SharedRate("a", 100.0)
-    assert rate.note_answer(2.0, 99.9, 100.0)
-    assert not rate.note_answer(None, 99.95, 100.1), "sent before the limit was heard of"
-    assert rate.note_answer(1.0, 99.95, 100.1), "a stricter one counts whenever it was sent"
-    assert not rate.note_answer(5.0, 100.05, 100.2)
-    assert rate.note_answer(5.0, 100.15, 100.3) and rate.per_s == 5.0
-    assert rate.note_answer(None, 100.4, 100.5) and rate.per_s is None
+    assert rate.record_answer(2.0, 99.9, 100.0)
+    assert not rate.record_answer(None, 99.95, 100.1), "sent before the limit was heard of"
+    assert rate.record_answer(1.0, 99.95, 100.1), "a stricter one counts whenever it was sent"
+    assert not rate.record_answer(5.0, 100.05, 100.2)
+    assert rate.record_answer(5.0, 100.15, 100.3) and rate.per_s == 5.0
+    assert rate.record_answer(None, 100.4, 100.5) and rate.per_s is None
     older = LimitShare(5.0, age_ms=300, taken=0)
     assert not rate.heard("b", older, 100.6), "the other has heard of it before the end"
     assert rate.heard("b", LimitShare(4.0, age_ms=10, taken=0), 100.6) and rate.per_s == 4.0
@@ -229,11 +229,11 @@
     for opened_ms, is_limited in ((5, False), (1_000_100, True)):
         registry = BackendRegistry("", Clock())
         registry.update([entry("a", born_ms=10)], ())
-        registry.get("a@10").take_notices(notes(1.0), 100.0, opened_ms, 99.0)
+        registry.get("a@10").apply_notices(notes(1.0), 100.0, opened_ms, 99.0)
         registry.update([entry("a", born_ms=1_000_000)], ())
         limit = registry.get("a@1000000").limit
         assert (limit.per_s is not None) is is_limited, opened_ms
-    registry.get("a@1000000").take_notices(notes(None, is_elsewhere=True), 200.0, 0, 199.0)
+    registry.get("a@1000000").apply_notices(notes(None, is_elsewhere=True), 200.0, 0, 199.0)
     assert limit.per_s == 1.0, "another backend at its address has said nothing of this one"
 
 
@@ -243,13 +243,13 @@
     registry = BackendRegistry("", clock)
     registry.update([entry("a")], ())
     backend = registry.get("a")
-    backend.take_notices(notes(None, is_limit_odd=True), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(None, is_limit_odd=True), clock.now_s, 0, clock.now_s)
     assert backend.limit.rate is None
-    backend.take_notices(notes(2.0), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(2.0), clock.now_s, 0, clock.now_s)
     clock.now_s += 1.0
-    backend.take_notices(notes(None, is_limit_odd=True), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(None, is_limit_odd=True), clock.now_s, 0, clock.now_s)
     assert backend.limit.per_s == 2.0
-    backend.take_notices(notes(None), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(None), clock.now_s, 0, clock.now_s)
     assert backend.limit.per_s is None
 
 
@@ -259,18 +259,18 @@
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b")], ())
     backend = registry.get("a")
-    backend.take_notices(notes(2.0), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(2.0), clock.now_s, 0, clock.now_s)
     assert {b.name for b in registry.usable(SERVICE)} == {"b"}
-    assert registry.rest_left_s(SERVICE) == 0.0 and registry.granted_per_s(SERVICE) is None
+    assert registry.unavailable_for_s(SERVICE) == 0.0 and registry.granted_per_s(SERVICE) is None
     clock.now_s += 0.6
     assert {b.name for b in registry.usable(SERVICE)} == {"a", "b"}
     backend.take_permit(clock.now_s)
     assert {b.name for b in registry.usable(SERVICE)} == {"b"}
     registry.update((), ["b"])
     clock.now_s += 3.0
-    registry.get("b").limit.note_answer(1.0, clock.now_s, clock.now_s)
+    registry.get("b").limit.record_answer(1.0, clock.now_s, clock.now_s)
     backend.take_permit(clock.now_s)
-    assert abs(registry.rest_left_s(SERVICE) - 0.5) < 0.01
+    assert abs(registry.unavailable_for_s(SERVICE) - 0.5) < 0.01
     assert registry.granted_per_s(SERVICE) == 2.0
     assert registry.levels()["backends_limited"] == 2
 
@@ -281,17 +281,21 @@
     registry = BackendRegistry("", clock)
     registry.update([entry("a")], ())
     backend = registry.get("a")
-    backend.take_notices(notes(2.0), clock.now_s, 0, clock.now_s)
-    assert BackendTalk(registry).limits()["a"].per_s == 2.0
+    backend.apply_notices(notes(2.0), clock.now_s, 0, clock.now_s)
+    assert BackendGossip(registry).limits()["a"].per_s == 2.0
     clock.now_s += 1.0
-    backend.take_notices(notes(None), clock.now_s, 0, clock.now_s)
-    assert BackendTalk(registry).limits()["a"].per_s < 0
+    backend.apply_notices(notes(None), clock.now_s, 0, clock.now_s)
+    assert BackendGossip(registry).limits()["a"].per_s < 0
     clock.now_s += 2.0
-    registry.drop_gone()
-    assert BackendTalk(registry).limits() == {} and backend.limit.rate is None
-    BackendTalk(registry).heard_limits("10.0.0.9", {"a": LimitShare(2.0, age_ms=2500, taken=1)})
+    registry.drop_expired_backends()
+    assert BackendGossip(registry).limits() == {} and backend.limit.rate is None
+    BackendGossip(registry).apply_remote_limits(
+        "10.0.0.9", {"a": LimitShare(2.0, age_ms=2500, taken=1)}
+    )
     assert backend.limit.rate is None
-    BackendTalk(registry).heard_limits("10.0.0.9", {"a": LimitShare(2.0, age_ms=100, taken=1)})
+    BackendGossip(registry).apply_remote_limits(
+        "10.0.0.9", {"a": LimitShare(2.0, age_ms=100, taken=1)}
+    )
     assert backend.limit.per_s == 2.0
 
 
--- a/features/support/notice_properties.py
+++ b/features/support/notice_properties.py
@@ -12,9 +12,9 @@
 from yokedock.connection.http_heads import AnswerHead, RequestHead
 from yokedock.connection.state_source import BackendEntry
 from yokedock.errors import BadRequest
-from yokedock.request.backend_notices import SAID_KEPT_S
+from yokedock.request.backend_gossip import BackendGossip
+from yokedock.request.backend_notices import NOTICE_RETENTION_S
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.backend_talk import BackendTalk
 
 SERVICE = "plain"
 UNDER_WAY_S = 0.5
@@ -112,7 +112,7 @@
             if self.chance.random() < 0.3:
                 self.registry.update((), [name])
             self.registry.update([entry(name)], ())
-            self.registry.drop_gone()
+            self.registry.drop_expired_backends()
 
     def _arrive(self, ends_s, rest_share):
         backend = self.registry.cheapest(SERVICE)
@@ -130,7 +130,7 @@
         now_s = self.clock.now_s
         for due_s, backend, said in self._answers:
             if due_s <= now_s:
-                backend.take_notices(said, now_s)
+                backend.apply_notices(said, now_s)
                 if said.is_leaving:
                     self.leaves_s.setdefault(backend.name, now_s)
         self._answers = [answer for answer in self._answers if answer[0] > now_s]
@@ -166,9 +166,9 @@
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b")], ())
     backend = registry.get("a")
-    backend.take_notices(notes(rest_s=3.0), clock.now_s)
-    backend.take_notices(notes(rest_s=0.5), clock.now_s + 1.0)
-    backend.health.note_answer(clock.now_s + 1.0, 0.01, is_failure=False)
+    backend.apply_notices(notes(rest_s=3.0), clock.now_s)
+    backend.apply_notices(notes(rest_s=0.5), clock.now_s + 1.0)
+    backend.health.record_answer(clock.now_s + 1.0, 0.01, is_failure=False)
     for later_s, is_used in ((0.0, False), (2.9, False), (3.0, True)):
         clock.now_s = 100.0 + later_s
         found = {b.name for b in registry.usable(SERVICE)}
@@ -181,14 +181,14 @@
     registry = BackendRegistry("", clock)
     registry.update([entry(name) for name in "abc"], ())
     for name, rest_s in (("a", 4.0), ("b", 2.0)):
-        registry.get(name).take_notices(notes(rest_s=rest_s), clock.now_s)
-    assert registry.rest_left_s(SERVICE) == 0.0
-    registry.get("c").take_notices(notes(rest_s=1.0, is_leaving=True), clock.now_s)
-    assert registry.rest_left_s(SERVICE) == 2.0
+        registry.get(name).apply_notices(notes(rest_s=rest_s), clock.now_s)
+    assert registry.unavailable_for_s(SERVICE) == 0.0
+    registry.get("c").apply_notices(notes(rest_s=1.0, is_leaving=True), clock.now_s)
+    assert registry.unavailable_for_s(SERVICE) == 2.0
     assert registry.cheapest(SERVICE) is None
     assert {b.name for b in registry.present(SERVICE)} == {"a", "b"}
     clock.now_s += 2.0
-    assert registry.cheapest(SERVICE).name == "b" and registry.rest_left_s(SERVICE) == 0.0
+    assert registry.cheapest(SERVICE).name == "b" and registry.unavailable_for_s(SERVICE) == 0.0
 
 
 def an_entry_that_lapses_and_comes_back_forgets_nothing():
@@ -196,17 +196,17 @@
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b"), entry("c")], ())
-    registry.get("a").take_notices(notes(is_leaving=True), clock.now_s)
-    registry.get("b").take_notices(notes(rest_s=30.0), clock.now_s)
+    registry.get("a").apply_notices(notes(is_leaving=True), clock.now_s)
+    registry.get("b").apply_notices(notes(rest_s=30.0), clock.now_s)
     registry.update((), ["a", "b", "c"])
     clock.now_s += 20.0
-    registry.drop_gone()
+    registry.drop_expired_backends()
     assert registry.names() == {"a", "b"}
     registry.update([entry("a"), entry("b"), entry("c")], ())
     assert {b.name for b in registry.usable(SERVICE)} == {"c"}
     registry.update((), ["a", "b", "c"])
-    clock.now_s += SAID_KEPT_S + 1.0
-    registry.drop_gone()
+    clock.now_s += NOTICE_RETENTION_S + 1.0
+    registry.drop_expired_backends()
     assert not registry.names()
 
 
@@ -221,10 +221,10 @@
         )
         for name in names:
             said = notes(is_leaving=True, rest_s=86_400.0)
-            registry.get(f"{name}@{number}").take_notices(said, clock.now_s)
+            registry.get(f"{name}@{number}").apply_notices(said, clock.now_s)
         registry.update((), [f"b{number}"])
         clock.now_s += 5.0
-        registry.drop_gone()
+        registry.drop_expired_backends()
         assert len(registry.names()) <= 20, len(registry.names())
 
 
@@ -234,7 +234,7 @@
     registry = BackendRegistry("", clock)
     first = BackendEntry("a", SERVICE, "127.0.0.1:1", born_ms=10)
     registry.update([first], ())
-    registry.get("a@10").take_notices(notes(rest_s=9.0, is_leaving=True), clock.now_s)
+    registry.get("a@10").apply_notices(notes(rest_s=9.0, is_leaving=True), clock.now_s)
     registry.update([BackendEntry("a", SERVICE, "127.0.0.1:1", born_ms=20)], ())
     assert [b.name for b in registry.usable(SERVICE)] == ["a@20"]
 
@@ -251,10 +251,10 @@
     ):
         registry = BackendRegistry("", Clock())
         registry.update([BackendEntry("a", SERVICE, "127.0.0.1:1", born_ms=10)], ())
-        registry.get("a@10").take_notices(notes(rest_s=9.0, is_leaving=True), now_s, opened_ms)
+        registry.get("a@10").apply_notices(notes(rest_s=9.0, is_leaving=True), now_s, opened_ms)
         registry.update([BackendEntry("a", SERVICE, "127.0.0.1:1", born_ms=born_ms)], ())
         after = registry.get(f"a@{born_ms}")
-        assert after.notices.is_resting(now_s) is rests, opened_ms
+        assert after.notices.is_backing_off(now_s) is rests, opened_ms
         assert (after.leaving_since_s is not None) is leaves, opened_ms
         assert bool(registry.usable(SERVICE)) is not rests, opened_ms
 
@@ -272,9 +272,9 @@
         before = registry.get("a@10")
         registry.update([BackendEntry("a", SERVICE, "127.0.0.1:1", born_ms=born_ms)], ())
         said = notes(rest_s=9.0, is_leaving=True, limit_per_s=2.0)
-        before.take_notices(said, now_s, born_ms + late_ms, now_s - 0.1)
+        before.apply_notices(said, now_s, born_ms + late_ms, now_s - 0.1)
         after = registry.get(f"a@{born_ms}")
-        assert after.notices.is_resting(now_s) is rests, late_ms
+        assert after.notices.is_backing_off(now_s) is rests, late_ms
         assert (after.leaving_since_s is not None) is leaves, late_ms
         assert (after.limit.per_s == 2.0) is rests, late_ms
         assert bool(registry.usable(SERVICE)) is not rests, late_ms
@@ -285,16 +285,16 @@
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b")], ())
-    registry.get("a").take_notices(notes(is_leaving=True), clock.now_s)
+    registry.get("a").apply_notices(notes(is_leaving=True), clock.now_s)
     assert registry.entries().keys() == {"a", "b"}
-    assert BackendTalk(registry).said_leaving() == ("a",)
+    assert BackendGossip(registry).recently_leaving() == ("a",)
     other = BackendRegistry("", clock)
     other.update([entry("a"), entry("b")], ())
-    BackendTalk(other).heard_leaving(("a", "unknown"))
+    BackendGossip(other).apply_remote_leaving(("a", "unknown"))
     assert {b.name for b in other.usable(SERVICE)} == {"b"}
-    assert BackendTalk(other).said_leaving() == (), "what was only heard is not told on"
+    assert BackendGossip(other).recently_leaving() == (), "what was only heard is not told on"
     clock.now_s += 2.0
-    assert BackendTalk(registry).said_leaving() == ()
+    assert BackendGossip(registry).recently_leaving() == ()
 
 
 NOTICE_PROPERTIES = {
--- a/features/support/placement_cost_properties.py
+++ b/features/support/placement_cost_properties.py
@@ -10,13 +10,13 @@
 from support.stream_properties import Clock
 from yokedock.connection.router_state import EngineShare, QueueShare
 from yokedock.request.engine_choice import EngineChoice
-from yokedock.request.engine_costs import EngineCosts, RoomyEngine, Sought
+from yokedock.request.engine_costs import AvailableEngine, EngineCosts, PlacementQuery
 from yokedock.request.engine_ledger import StreamDemand
-from yokedock.request.engine_pace import FIRST_READ_RATE, EnginePace
+from yokedock.request.engine_performance import INITIAL_PREFILL_RATE, EnginePerformance
 from yokedock.request.engine_placement import DECODE_ROLE, PREFILL_ROLE, Progress
 from yokedock.request.mechanisms import ALL_ON
-from yokedock.request.queues_elsewhere import QueuesElsewhere
-from yokedock.request.remote_promises import LIFETIME_S, EngineTotals, RemotePromises
+from yokedock.request.remote_queues import RemoteQueues
+from yokedock.request.remote_reservations import LIFETIME_S, EngineTotals, RemoteReservations
 from yokedock.version.homes import HashRing
 from yokedock_emulator.decision_cost import (
     MEMORY_TOKENS,
@@ -52,7 +52,7 @@
 def sums_are_what_routers_told_last(events):
     """Sums kept by difference are those of the newest shares that have not lapsed."""
     clock = Clock()
-    promises = RemotePromises(clock)
+    promises = RemoteReservations(clock)
     newest = {}
     for kind, who, shares in events:
         if kind == "heard":
@@ -92,7 +92,7 @@
 @searched(events=st.lists(queue_event, max_size=25))
 def queues_elsewhere_are_what_routers_told_last(events):
     """Sums and turns by service are those of the newest news; the last one in time is noticed."""
-    queues = QueuesElsewhere("r2")
+    queues = RemoteQueues("r2")
     newest = {}
     for router, news in events:
         before = {service: queues.in_time(service) for service in ("s1", "s2")}
@@ -100,10 +100,10 @@
             queues.forget(router)
             newest.pop(router, None)
         else:
-            has_emptied = queues.heard(router, news, 100.0)
+            has_emptied_on_time = queues.heard(router, news, 100.0)
             newest[router] = news
             after = {service: queues.in_time(service) for service in ("s1", "s2")}
-            assert has_emptied == any(before[s] and not after[s] for s in before)
+            assert has_emptied_on_time == any(before[s] and not after[s] for s in before)
         for service in ("s1", "s2"):
             shares = {r: news[service] for r, news in newest.items() if service in news}
             assert queues.share(service).in_time == sum(s.in_time for s in shares.values())
@@ -124,16 +124,16 @@
 )
 def the_typical_rate_is_the_median(notes, kept):
     """What is typical of all engines is the median of what was measured, also after some left."""
-    pace = EnginePace(Clock())
+    pace = EnginePerformance(Clock())
     values = {}
     for engine, tokens in notes:
-        pace.note_read(engine, tokens, 1.0)
+        pace.note_prefill(engine, tokens, 1.0)
         before = values.get(engine, tokens)
         values[engine] = before + 0.25 * (tokens - before)
     pace.keep_only(kept)
     left = [value for engine, value in values.items() if engine in kept]
-    expected = statistics.median_high(left) if left else FIRST_READ_RATE
-    assert abs(pace.read_rate("unknown") - expected) < 1e-6
+    expected = statistics.median_high(left) if left else INITIAL_PREFILL_RATE
+    assert abs(pace.prefill_rate("unknown") - expected) < 1e-6
 
 
 def _busy_fleet(seed):
@@ -145,9 +145,9 @@
             tokens = draw.randrange(MEMORY_TOKENS)
             fleet.ledger.open_stream(StreamDemand(backend.name, tokens, 0, 0))
         if draw.random() < 0.2:
-            backend.health.note_answer(0.0, 0.1, is_failure=True)
+            backend.health.record_answer(0.0, 0.1, is_failure=True)
         if draw.random() < 0.2:
-            fleet.ledger.pace.note_read(backend.name, draw.randint(500, 4000), 0.1)
+            fleet.ledger.pace.note_prefill(backend.name, draw.randint(500, 4000), 0.1)
     return fleet
 
 
@@ -159,16 +159,19 @@
     """
     fleet = _busy_fleet(seed)
     costs = EngineCosts(fleet.ledger, ALL_ON)
-    sought = Sought(fleet.call().terms.generation, Progress(), TRAITS)
+    placement_query = PlacementQuery(fleet.call().terms.generation, Progress(), TRAITS)
     prefills = fleet.registry.usable(MODEL_SERVICE, PREFILL_ROLE)
     decodes = fleet.registry.usable(MODEL_SERVICE, DECODE_ROLE)
     if not decodes:
         return
-    weighed = [costs.weighed(RoomyEngine(d, fleet.ledger.load(d.name)), sought) for d in decodes]
-    best = costs.best_pair(prefills, weighed, sought)
+    evaluate = [
+        costs.evaluate(AvailableEngine(d, fleet.ledger.load(d.name)), placement_query)
+        for d in decodes
+    ]
+    best = costs.best_pair(prefills, evaluate, placement_query)
     one_by_one = [
-        costs.best_pair([prefill], [candidate], sought).cost_s
-        for prefill, candidate in itertools.product(prefills, weighed)
+        costs.best_pair([prefill], [candidate], placement_query).cost_s
+        for prefill, candidate in itertools.product(prefills, evaluate)
     ]
     assert abs(best.cost_s - min(one_by_one)) < 0.002
 
--- a/features/support/poison_properties.py
+++ b/features/support/poison_properties.py
@@ -11,13 +11,13 @@
 
 from support.stream_properties import Clock
 from yokedock.request.poison_requests import (
+    CRASH_GOSSIP_S,
     FORGOTTEN_S,
-    MOST_ENDS,
+    MAX_CRASHES_KEPT,
     MOST_KEPT,
     SETTLE_S,
-    TELL_S,
     PoisonRequests,
-    life_number,
+    incarnation_number,
 )
 
 NEWS_S = 0.02
@@ -126,7 +126,7 @@
     def _whole(self, engine, run):
         if run in self.running[engine]:
             self.running[engine].remove(run)
-            self.routers[run.router].note_sound(run.digest)
+            self.routers[run.router].record_harmless(run.digest)
 
     def _some_crash(self):
         self._at(self.shape.crashes_every_s, self._some_crash)
@@ -142,10 +142,10 @@
                 self.third_s[culprit] = self.clock.now_s
         self.up.discard(engine)
         self._at(BACK_S, self._back, engine)
-        number = life_number(f"{engine}-{life}")
+        number = incarnation_number(f"{engine}-{life}")
         runs, self.running[engine] = self.running[engine], []
         for run in runs:
-            self.routers[run.router].note_end(run.digest, number, self.clock.now_s - run.sent_s)
+            self.routers[run.router].record_crash(run.digest, number, self.clock.now_s - run.sent_s)
         for router in {run.router for run in runs}:
             told = self.routers[router].told()
             self._at(NEWS_S, self._tell, router, told)
@@ -204,7 +204,7 @@
 def ended(router, digest, *lives):
     """Have a request at backends that end a second after they got it."""
     for life in lives:
-        router.note_end(digest, life, 1.0)
+        router.record_crash(digest, life, 1.0)
 
 
 def a_backend_that_answers_has_not_ended():
@@ -214,10 +214,10 @@
     ended(router, 7, 1, 2, 3)
     sent_before_s = clock.now_s - 0.1
     clock.now_s += 5.0
-    router.note_alive(1, sent_before_s)
+    router.record_alive(1, sent_before_s)
     assert router.quarantined_for_s(7), "that answer lay here while the process stood still"
     for life in (1, 2):
-        router.note_alive(life, clock.now_s)
+        router.record_alive(life, clock.now_s)
     assert not router.quarantined_for_s(7)
 
 
@@ -225,12 +225,12 @@
     """A connection that breaks as soon as it is used may belong to a backend that was gone."""
     clock = Clock()
     router, other = PoisonRequests(clock=clock), PoisonRequests(clock=clock)
-    router.note_end(7, 1, 0.002)
-    router.note_end(7, 2, 0.5)
+    router.record_crash(7, 1, 0.002)
+    router.record_crash(7, 2, 0.5)
     other.heard(router.told())
     clock.now_s += 2 * SETTLE_S
     assert not router.quarantined_for_s(7) and not other.quarantined_for_s(7)
-    other.note_end(7, 3, 0.001)
+    other.record_crash(7, 3, 0.001)
     assert other.quarantined_for_s(7)
 
 
@@ -238,7 +238,7 @@
     """One whole answer takes a request off the suspects."""
     router = PoisonRequests(clock=Clock())
     ended(router, 7, 1, 2)
-    router.note_sound(7)
+    router.record_harmless(7)
     ended(router, 7, 3, 4)
     assert router.size() == 1 and len(router.told()[0].lives) == 2
 
@@ -274,10 +274,10 @@
     for _ in range(round(FORGOTTEN_S * 2)):
         clock.now_s += 0.7
         for one, other in itertools.permutations(routers, 2):
-            other.heard(one.told() + one.told_to_newcomer())
+            other.heard(one.told() + one.report_for_new_router())
         for router in routers:
             router.drop_old()
-        if clock.now_s - ended_s < FORGOTTEN_S - TELL_S:
+        if clock.now_s - ended_s < FORGOTTEN_S - CRASH_GOSSIP_S:
             assert all(router.quarantined_for_s(7) for router in routers)
     assert not any(router.size() for router in routers)
 
@@ -288,12 +288,12 @@
     router = PoisonRequests(clock=clock)
     for number in range(3 * MOST_KEPT):
         clock.now_s += 0.001
-        router.note_end(number, number % 50, 1.0)
+        router.record_crash(number, number % 50, 1.0)
     router.drop_old()
     assert router.size() == MOST_KEPT
-    ended(router, -1, *range(10_000, 10_000 + 3 * MOST_ENDS))
+    ended(router, -1, *range(10_000, 10_000 + 3 * MAX_CRASHES_KEPT))
     told = next(request for request in router.told() if request.digest == -1)
-    assert len(told.lives) == MOST_ENDS
+    assert len(told.lives) == MAX_CRASHES_KEPT
 
 
 POISON_PROPERTIES = {
--- a/features/support/properties.py
+++ b/features/support/properties.py
@@ -9,23 +9,23 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.connection.http_server import error_response
 from yokedock.connection.peer_client import join_parts
-from yokedock.errors import BundleRejected, NoDecodeRoom, Refused, YokedockError
+from yokedock.errors import BundleRejected, NoDecodeCapacity, Refused, YokedockError
 from yokedock.messages import StreamTokens
-from yokedock.request.answer_stream import StreamClock
+from yokedock.request.answer_stream import TokenTimings
 from yokedock.request.idempotency import (
-    IdempotencyRecord,
+    IdempotencyStore,
     RecordLimits,
     key_time_ms,
     new_key,
 )
-from yokedock.request.known_blocks import KnownBlocks
 from yokedock.request.prefix import block_hashes
+from yokedock.request.prefix_cache_index import PrefixCacheIndex
 from yokedock.request.slots import SlotEntry, SlotTable
 from yokedock.version.bundle import Bundle, Engine, Limits, Model, RequestClass, Tenant
 from yokedock.version.bundle_codec import assemble, open_envelope, sign_bundle
 from yokedock.version.bundle_store import BundleStore
 from yokedock.version.homes import home_of
-from yokedock.version.role_ladder import LadderPosition, wanted_role
+from yokedock.version.role_ladder import LadderPosition, desired_role
 from yokedock.version.subset import choose_subset
 
 KEY = Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
@@ -125,12 +125,12 @@
 )
 def ladder_order(flexible, prefill, decode, share, present):
     roles = [
-        wanted_role(LadderPosition(rank, flexible, prefill, decode), share, present)
+        desired_role(LadderPosition(rank, flexible, prefill, decode), share, present)
         for rank in range(flexible)
     ]
     assert roles == sorted(roles, reverse=True), "a higher rank prefills before a lower one"
     more = [
-        wanted_role(LadderPosition(rank, flexible, prefill, decode), min(1, share + 0.2), present)
+        desired_role(LadderPosition(rank, flexible, prefill, decode), min(1, share + 0.2), present)
         for rank in range(flexible)
     ]
     assert more.count("prefill") >= roles.count("prefill")
@@ -144,7 +144,7 @@
 @searched(steps=st.lists(st.sampled_from(["call", "answer", "fail", "tombstone"]), max_size=12))
 def key_runs_once(steps):
     now_ms = 10**12
-    record, key = IdempotencyRecord(now_ms - 10**6), new_key(now_ms)
+    record, key = IdempotencyStore(now_ms - 10**6), new_key(now_ms)
     runs, open_record, tombstoned = 0, None, False
     for step in steps:
         try:
@@ -177,7 +177,7 @@
         try:
             table.reserve(asked_slot(f"a{number}", tokens, 5, now))
             granted += 1
-        except NoDecodeRoom as refusal:
+        except NoDecodeCapacity as refusal:
             assert refusal.retry_after_s > 0
     assert granted == min(slots, asked) == table.taken()
 
@@ -219,7 +219,7 @@
         promised_s = table.reserve(asked_slot(f"a{number}", length, 5, now + NEVER_LATE_S)) - now
         if number < min(started, slots):
             table.start(f"a{number}")
-            table.progressed(f"a{number}", 0)
+            table.add_tokens(f"a{number}", 0)
         free.sort()
         assert abs(promised_s - free[0]) < LONG_STEP_S / 2, (promised_s, free)
         free[0] += length * LONG_STEP_S
@@ -239,9 +239,9 @@
         try:
             table.reserve(entry)
             latest_s[entry.attempt] = latest
-        except NoDecodeRoom:
+        except NoDecodeCapacity:
             continue
-    starts = table.expected_starts(now)
+    starts = table.simulate_starts(now)
     late = {a: start_s - latest_s[a] for a, start_s in starts.items() if start_s > latest_s[a]}
     assert not late, late
 
@@ -258,7 +258,7 @@
         try:
             table.reserve(asked_slot(f"p{priority} a{number}", tokens, priority, now))
             granted += 1
-        except NoDecodeRoom:
+        except NoDecodeCapacity:
             continue
     return granted
 
@@ -270,7 +270,7 @@
 )
 def readers_learn_all(steps, most):
     """Two readers that ask at different times end up knowing the same blocks as the source."""
-    known, readers = KnownBlocks(), [(0, set()), (0, set())]
+    known, readers = PrefixCacheIndex(), [(0, set()), (0, set())]
     for number, (step, block) in enumerate(steps):
         getattr(known, step)((block,))
         readers[number % 2] = told(known, *readers[number % 2], most)
@@ -314,7 +314,7 @@
 
 @searched(sizes=st.lists(st.integers(1, 5), min_size=1, max_size=20), known_case={"sizes": [2]})
 def one_gap_fewer(sizes):
-    clock = StreamClock()
+    clock = TokenTimings()
     for size in sizes:
         clock.arrived(size)
     assert sum(count for _, count in clock.gaps) == sum(sizes) - 1
--- a/features/support/reservation_properties.py
+++ b/features/support/reservation_properties.py
@@ -8,9 +8,9 @@
 from yokedock.connection.http_heads import AnswerHead, RequestHead
 from yokedock.connection.state_source import BackendEntry
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.opaque_call import OpaqueCalls
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
-from yokedock.request.routed_call import RoutedCall, WholeAnswer
+from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.request.unary_call import UnaryCalls
 from yokedock.router_errors import BackendSilent, BackendUnreachable
 from yokedock.version.route_table import Route, RouteKind, ServiceSpec, WeightedTarget
 
@@ -38,7 +38,7 @@
         self._is_slow = is_slow
         self._exchanges = exchanges
 
-    def suspect_after(self, quiet_s):
+    def start_silence_timer(self, max_silence_s):
         """Ignore the limit: there is no connection to suspect."""
 
     async def send(self, order):
@@ -54,7 +54,7 @@
             self._exchanges.after_reservation()
         if self._is_slow and patience_s < TIME_LEFT_S / 2:
             raise BackendSilent(f"{self.backend.name} gave no answer")
-        return WholeAnswer(AnswerHead((), 200, b"OK"), self.backend.name.encode())
+        return BufferedAnswer(AnswerHead((), 200, b"OK"), self.backend.name.encode())
 
 
 class ExchangesStub:
@@ -69,7 +69,7 @@
     async def open(self, backend, call, has_permit=False):
         """Open an exchange; raises if the backend is unwilling or has ended."""
         self._slow = self._slow or backend
-        backend.require_willing(boot_time_s())
+        backend.require_accepting(boot_time_s())
         if backend.has_ended:
             raise BackendUnreachable(f"{backend.name} has ended")
         yield ExchangeStub(backend, backend is self._slow, self)
@@ -81,10 +81,10 @@
     entries = [BackendEntry(name, SERVICE, "127.0.0.1:1", born_ms=1) for name in ("slow", "other")]
     registry.update(entries, ())
     other = registry.get("other@1")
-    other.health.note_answer(boot_time_s(), 0.1, is_failure=True)
+    other.health.record_answer(boot_time_s(), 0.1, is_failure=True)
     allowance = RetryAllowance(RetryBounds(0.2, 10.0, 50.0), lambda: 1, is_first_start=True)
     exchanges = ExchangesStub(lambda: change(registry, other, allowance))
-    calls = OpaqueCalls(registry, exchanges, allowance)
+    calls = UnaryCalls(registry, exchanges, allowance)
     targets = (WeightedTarget(SERVICE),)
     kind = RouteKind.REPEATABLE
     route = Route("r", "h", "/", kind, TIME_LEFT_S, 1.0, targets, max_attempts=3)
@@ -102,13 +102,13 @@
 
 def asks_for_rest(registry, other, allowance):
     """Let the reserved backend refuse another request and ask for rest."""
-    other.take_notices(REST_REFUSAL, boot_time_s())
+    other.apply_notices(REST_REFUSAL, boot_time_s())
 
 
 def restarts_and_asks_for_rest(registry, other, allowance):
     """List a later life of the reserved backend, which asks for rest."""
     registry.update([BackendEntry("other", SERVICE, "127.0.0.1:1", born_ms=2)], ())
-    registry.get("other@2").take_notices(REST_REFUSAL, boot_time_s())
+    registry.get("other@2").apply_notices(REST_REFUSAL, boot_time_s())
 
 
 def runs_out_of_connections(registry, other, allowance):
--- a/features/support/restored_properties.py
+++ b/features/support/restored_properties.py
@@ -178,8 +178,8 @@
             elif kind == "arrive" and in_flight:
                 clock.now_s += second / 1000
                 answer = in_flight.pop(first % len(in_flight))
-                is_news = isinstance(answer, StateNews)
-                follower.take_news((answer,)) if is_news else follower.adopt(answer)
+                is_unreported = isinstance(answer, StateNews)
+                follower.take_news((answer,)) if is_unreported else follower.adopt(answer)
                 registry.apply_restoration_timeouts()
             assert follower.position >= before
             leaving |= {n for n, found in registry.entries().items() if found.is_leaving}
@@ -245,7 +245,7 @@
     registry = restored_registry(clock, withdrawn={"a": LEAVING}, backup=NAMES)
     for _ in range(30):
         clock.now_s += 1.0
-        registry.drop_gone()
+        registry.drop_expired_backends()
         registry.replace_all({name: entry(name, 5) for name in NAMES})
         assert usable(registry) == {"b", "c"}
     assert registry.entries()["a"].is_leaving
@@ -290,12 +290,12 @@
         if is_removed_again:
             registry.update((), ["a"])
         clock.now_s += REMOVED_HOLD_S - 0.1
-        registry.drop_gone()
+        registry.drop_expired_backends()
         clock.now_s += 0.2 if is_removed_again else 0.0
-        registry.drop_gone()
+        registry.drop_expired_backends()
         registry.restore_all({name: entry(name, 5) for name in NAMES})
         clock.now_s += REMOVED_HOLD_S - 0.1
-        registry.drop_gone()
+        registry.drop_expired_backends()
         assert usable(registry) == {"b", "c"}, is_removed_again
 
 
@@ -306,7 +306,7 @@
     registry.replace_all({name: entry(name, 5) for name in NAMES})
     registry.update((), ["a"])
     clock.now_s += 20.0
-    registry.drop_gone()
+    registry.drop_expired_backends()
     assert registry.get("a") is None
     registry.restore_all({name: entry(name, 5) for name in NAMES})
     assert usable(registry) == {"b", "c"}
@@ -349,7 +349,7 @@
         registry.update([BackendEntry(f"i-{number}", "plain", "127.0.0.1:1")], ())
         registry.update((), [f"i-{number}"])
         clock.now_s += 1.0
-        registry.drop_gone()
+        registry.drop_expired_backends()
     assert registry.withdrawal_count() <= WITHDRAWAL_RETENTION_S + 2
 
 
--- a/features/support/role_properties.py
+++ b/features/support/role_properties.py
@@ -11,7 +11,7 @@
 from yokedock.process.role_balancer import MOST_ORDERS, SETTLED_S, RoleBalancer
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
-from yokedock.request.role_plan import wanted_prefills
+from yokedock.request.role_plan import target_prefill_engines
 from yokedock.version.route_table import ServiceSpec
 
 
@@ -55,7 +55,7 @@
     """Before any traffic, 300 engines get their 45 orders in three rounds, and no more follow."""
     balancer = RecordingBalancer(300, 105)
     counts = asyncio.run(orders_in(balancer, 5))
-    needed = 105 - wanted_prefills(300)
+    needed = 105 - target_prefill_engines(300)
     assert counts[2] == counts[4] == needed == len(set(balancer.ordered)), counts
     assert {role for _, role in balancer.ordered} == {"decode"}
 
--- a/features/support/router_properties.py
+++ b/features/support/router_properties.py
@@ -13,12 +13,12 @@
 from yokedock.connection.router_state import EngineShare
 from yokedock.connection.source_position import SourcePosition
 from yokedock.platform.documents import backend_entry, route_table
-from yokedock.platform.store import StoredItem, translate
+from yokedock.platform.store import StoredItem, items_to_changes
 from yokedock.process.leadership import Leadership, Vote
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
-from yokedock.request.engine_pace import EnginePace
+from yokedock.request.engine_performance import EnginePerformance
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
-from yokedock.request.role_plan import EngineRole, wanted_changes, wanted_prefills
+from yokedock.request.role_plan import EngineRole, planned_role_changes, target_prefill_engines
 from yokedock.version.route_table import Route, RouteIndex, RouteKind, RouteTable, WeightedTarget
 
 LEASE_S = 3.0
@@ -100,7 +100,7 @@
         requests.append(clock.now_s)
         with router.request("s") as retries:
             while chance.random() < pressure / (1 + pressure) and retries.set_aside(1):
-                retries.note_arrival()
+                retries.record_arrival()
                 extras.append(clock.now_s)
     for start_s in extras:
         end_s = start_s + bounds.window_s
@@ -156,7 +156,7 @@
 def a_slow_engine_is_known_and_forgiven():
     """An engine with pauses four times as long counts as slow, less so as time passes."""
     clock = Clock()
-    pace = EnginePace(clock)
+    pace = EnginePerformance(clock)
     for _ in range(30):
         for engine in ("a", "b", "c"):
             pace.note_pause(engine, 0.05, False)
@@ -174,7 +174,7 @@
     roles = ["prefill"] * reading + ["decode"] * making
     engines = [EngineRole(f"e{number}", role, number) for number, role in enumerate(roles)]
     for _ in range(len(engines) + 1):
-        change = next(iter(wanted_changes(engines, "prefill", "decode", 1)), None)
+        change = next(iter(planned_role_changes(engines, "prefill", "decode", 1)), None)
         if change is None:
             break
         engines = [
@@ -184,7 +184,7 @@
     else:
         raise AssertionError("changes do not end")
     if len(engines) >= 2:
-        assert sum(e.role == "prefill" for e in engines) == wanted_prefills(len(engines))
+        assert sum(e.role == "prefill" for e in engines) == target_prefill_engines(len(engines))
 
 
 @searched(prefixes=st.lists(st.lists(st.sampled_from("ab"), max_size=3), min_size=1, max_size=6))
@@ -238,7 +238,9 @@
     good = StoredItem("servers/i-1", base64.b64encode(json.dumps(server).encode()).decode())
     bad = StoredItem("servers/i-2", "!!")
     gone = StoredItem("servers/i-3", gone=True)
-    changes = translate((good, bad, gone, StoredItem("op/config", "!!")), SourcePosition(3, 9))
+    changes = items_to_changes(
+        (good, bad, gone, StoredItem("op/config", "!!")), SourcePosition(3, 9)
+    )
     assert changes.position == SourcePosition(3, 9) and changes.table is None
     assert changes.undecoded == ("i-2", "op/config")
     assert [entry.instance for entry in changes.changed] == ["i-1"]
--- a/features/support/sleep_properties.py
+++ b/features/support/sleep_properties.py
@@ -15,11 +15,11 @@
 from yokedock.connection.router_state import EngineShare, LimitShare, RouterState, SuspectRequest
 from yokedock.connection.state_source import BackendEntry
 from yokedock.process.leadership import Leadership, Vote
+from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.backend_talk import BackendTalk
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.poison_requests import PoisonRequests
-from yokedock.request.remote_promises import LIFETIME_S, RemotePromises
+from yokedock.request.remote_reservations import LIFETIME_S, RemoteReservations
 
 OTHER = "127.0.0.9"
 SLEEP_S = 2.2
@@ -194,14 +194,14 @@
 def promises_lapse_whether_or_not_anybody_reads_them():
     """Guards against rows of a silent router that stay until somebody places a stream there."""
     clock = Clock()
-    promises = RemotePromises(clock)
+    promises = RemoteReservations(clock)
     promises.heard("a", {"e": SHARE})
     promises.heard("b", {"e": SHARE}, clock.now_s - LIFETIME_S - 0.1)
     clock.now_s += 0.01
-    assert promises.drop_lapsed() and promises.totals("e").streams == 2
+    assert promises.drop_expired() and promises.totals("e").streams == 2
     clock.now_s += LIFETIME_S
-    assert promises.drop_lapsed() and promises.size() == 0
-    assert not promises.drop_lapsed()
+    assert promises.drop_expired() and promises.size() == 0
+    assert not promises.drop_expired()
 
 
 def what_is_heard_late_counts_from_when_it_was_told():
@@ -210,13 +210,13 @@
     registry = BackendRegistry("", clock)
     registry.update([BackendEntry("a", "s", "127.0.0.1:1")], ())
     told_s = clock.now_s - 3.0
-    talk, backend = BackendTalk(registry), registry.get("a")
-    backend.limit.note_answer(4.0, clock.now_s - 1.0, clock.now_s - 1.0)
-    talk.heard_limits("b", {"a": LimitShare(1.0, age_ms=10, taken=0)}, told_s)
+    talk, backend = BackendGossip(registry), registry.get("a")
+    backend.limit.record_answer(4.0, clock.now_s - 1.0, clock.now_s - 1.0)
+    talk.apply_remote_limits("b", {"a": LimitShare(1.0, age_ms=10, taken=0)}, told_s)
     assert backend.limit.per_s == 4.0, "a newer answer said so"
-    talk.heard_broken({"a": 80}, told_s)
-    assert backend.health.failure_share(clock.now_s) < 0.55
-    talk.heard_leaving(("a",), told_s)
+    talk.apply_remote_broken({"a": 80}, told_s)
+    assert backend.health.failure_rate(clock.now_s) < 0.55
+    talk.apply_remote_leaving(("a",), told_s)
     assert not backend.may_take_as_last_resort(clock.now_s)
     poison = PoisonRequests(clock=clock)
     poison.heard((SuspectRequest(7, (1, 2, 3)),), told_s)
--- a/features/support/soak_histories.py
+++ b/features/support/soak_histories.py
@@ -97,7 +97,7 @@
     made.arrival(made.history.records[asked.request_id], "i-2")
     asked.rest_s = rest_s
     for moment_s in moments:
-        made.arrival(made.request(at_s=moment_s)).backend_life = backend_lives - 1
+        made.arrival(made.request(at_s=moment_s)).backend_incarnation = backend_lives - 1
 
 
 def sent_to_limited(made, count, names_limit=True, last_router_life=1):
--- a/features/support/stream_properties.py
+++ b/features/support/stream_properties.py
@@ -11,16 +11,16 @@
 from yokedock.connection.dialect import CallTerms, GenerationTerms, PromptPart
 from yokedock.connection.router_state import QueueShare
 from yokedock.connection.state_source import BackendEntry
-from yokedock.errors import NoDecodeRoom
+from yokedock.errors import NoDecodeCapacity
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.cache_lookup import CacheLookup
+from yokedock.request.capacity_forecast import CapacityForecast, QueueAhead
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import Progress
-from yokedock.request.placement_queue import QueuedPlacement
-from yokedock.request.room_forecast import QueueAhead, RoomForecast
+from yokedock.request.queued_placement import QueuedPlacement
 from yokedock.request.routed_call import RoutedCall
-from yokedock.request.stream_turnover import StreamTurnover
-from yokedock.request.stream_watch import DARK_S, LOST_S, StreamWatch
+from yokedock.request.silence_detector import ENGINE_SILENCE_S, MOVE_SILENCE_S, SilenceDetector
+from yokedock.request.stream_duration import StreamDuration
 from yokedock.router_errors import BackendSilent
 from yokedock.version.route_table import EngineTraits, Route, RouteKind, ServiceSpec, WeightedTarget
 
@@ -75,7 +75,7 @@
         assert placed.decode.name == "d"
         try:
             await placement.place(generation(now_s - 5.0), Progress(silent_since_s=now_s - 4.0))
-        except NoDecodeRoom:
+        except NoDecodeCapacity:
             return
         raise AssertionError("waited longer than its caller does")
 
@@ -108,7 +108,7 @@
         try:
             async with asyncio.timeout(0.5):
                 await placement.place(generation(now_s), Progress())
-        except NoDecodeRoom as error:
+        except NoDecodeCapacity as error:
             told = re.search(r"room comes only in ([0-9.]+) s", error.message)
             predicted_s = float(told[1])
             assert predicted_s > 3.6, error.message
@@ -156,7 +156,7 @@
         try:
             async with asyncio.timeout(2.0):
                 await waiting
-        except NoDecodeRoom as error:
+        except NoDecodeCapacity as error:
             assert boot_time_s() - now_s < 1.5, "refused when its target is out of reach"
             assert error.retry_after_s > 3.0
         else:
@@ -188,11 +188,11 @@
 
 def room_is_forecast_from_how_long_streams_lasted():
     """Twice the streams free room twice as often; what ended at once teaches nothing."""
-    turnover = StreamTurnover()
+    turnover = StreamDuration()
     for _ in range(200):
         turnover.note(4.0)
         turnover.note(0.01)
-    forecast = RoomForecast(turnover)
+    forecast = CapacityForecast(turnover)
     assert 3.9 < forecast.wait_s(QueueAhead(1, 0)) < 4.1
     assert 0.39 < forecast.wait_s(QueueAhead(20, 1)) < 0.41
     assert forecast.wait_s(QueueAhead(0, 0)) == forecast.wait_s(QueueAhead(1, 0))
@@ -203,11 +203,11 @@
 @searched(factor=st.floats(0.3, 3.0), waits=st.lists(st.floats(0.1, 3.0), min_size=60))
 def the_forecast_learns_how_wrong_it_was(factor, waits):
     """Where waits are always ``factor`` times as long as predicted, the forecast follows."""
-    forecast = RoomForecast(StreamTurnover())
+    forecast = CapacityForecast(StreamDuration())
     for bare_s in waits:
-        forecast.note(bare_s * forecast.error_factor(), bare_s * factor)
-    assert abs(math.log(forecast.error_factor() / factor)) < 0.05
-    assert forecast.error_factor(is_late=True) == 1.0, "the late are forecast apart"
+        forecast.note(bare_s * forecast.correction_factor(), bare_s * factor)
+    assert abs(math.log(forecast.correction_factor() / factor)) < 0.05
+    assert forecast.correction_factor(is_late=True) == 1.0, "the late are forecast apart"
 
 
 def an_engine_whose_streams_are_all_silent_is_avoided():
@@ -215,7 +215,7 @@
 
     async def play():
         clock = Clock()
-        watch = StreamWatch(clock)
+        watch = SilenceDetector(clock)
         backends = registry("d", "e", clock=clock)
         engine = backends.get("d")
         begun, other, waiting = (watch.open(engine, may_move=True) for _ in range(3))
@@ -229,10 +229,10 @@
             watch.check()
         await asyncio.sleep(0)
         assert not any(task.done() for task in awaited) and not is_avoided(backends)
-        await let_pass(clock, watch, DARK_S)
+        await let_pass(clock, watch, ENGINE_SILENCE_S)
         assert is_avoided(backends)
         assert awaited[1].done() and not awaited[0].done(), "only what has not begun moves"
-        await let_pass(clock, watch, LOST_S - DARK_S)
+        await let_pass(clock, watch, MOVE_SILENCE_S - ENGINE_SILENCE_S)
         assert awaited[0].done()
 
     asyncio.run(play())
@@ -243,7 +243,7 @@
 
     async def play(has_begun, others_go_on):
         clock = Clock()
-        watch = StreamWatch(clock)
+        watch = SilenceDetector(clock)
         backends = registry("d", "e", clock=clock)
         engine = backends.get("d")
         stalled, other = (watch.open(engine, may_move=True) for _ in range(2))
@@ -271,7 +271,7 @@
 
     async def play():
         clock = Clock()
-        watch = StreamWatch(clock)
+        watch = SilenceDetector(clock)
         backends = registry("d", "e", clock=clock)
         watch.heard(watch.open(backends.get("d"), may_move=True))
         clock.now_s += 5.0
--- a/features/support/upkeep_properties.py
+++ b/features/support/upkeep_properties.py
@@ -15,7 +15,7 @@
 from yokedock.errors import YokedockError
 from yokedock.process.leadership import Leadership, Vote
 from yokedock.process.router_metrics import GONE_ROUTES, MOST_KEPT, MOST_ROUTES, RouterMetrics
-from yokedock.request.backend_list import GONE_KEPT_S
+from yokedock.request.backend_list import BACKEND_RETENTION_S
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
 
@@ -27,16 +27,16 @@
     for number in range(200):
         registry.update([BackendEntry(f"b{number}", "s", "127.0.0.1:1")], [f"b{number - 1}"])
         clock.now_s += 1
-        registry.drop_gone()
-        assert len(registry.names()) <= GONE_KEPT_S + 2, registry.names()
+        registry.drop_expired_backends()
+        assert len(registry.names()) <= BACKEND_RETENTION_S + 2, registry.names()
     busy = registry.get("b199")
     busy.outstanding = 1
     registry.update([], ["b199"])
-    clock.now_s += 2 * GONE_KEPT_S
-    registry.drop_gone()
+    clock.now_s += 2 * BACKEND_RETENTION_S
+    registry.drop_expired_backends()
     assert registry.names() == {"b199"}
     busy.outstanding = 0
-    registry.drop_gone()
+    registry.drop_expired_backends()
     assert registry.names() == set()
 
 
@@ -45,8 +45,8 @@
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([BackendEntry("b", "s", "127.0.0.1:1", is_leaving=True)], [])
-    clock.now_s += 10 * GONE_KEPT_S
-    registry.drop_gone()
+    clock.now_s += 10 * BACKEND_RETENTION_S
+    registry.drop_expired_backends()
     assert registry.names() == {"b"}
 
 
--- a/src/yokedock/base/clock.py
+++ b/src/yokedock/base/clock.py
@@ -81,12 +81,12 @@
         """Start measuring now."""
         self._boot_lead_s = _clock.boot_time_s() - _clock.monotonic_time_s()
 
-    def slept_s(self) -> float:
+    def suspended_for_s(self) -> float:
         """Return the seconds of suspension since the last call, under a millisecond if none."""
         ahead_s = _clock.boot_time_s() - _clock.monotonic_time_s()
-        slept_s = ahead_s - self._boot_lead_s
+        suspended_for_s = ahead_s - self._boot_lead_s
         self._boot_lead_s = ahead_s
-        return slept_s
+        return suspended_for_s
 
 
 def deadline_in(duration_ms: float) -> float:
@@ -94,14 +94,14 @@
     return boot_time_s() + duration_ms / 1000
 
 
-def left_s(deadline_s: float) -> float:
+def remaining_s(deadline_s: float) -> float:
     """Return the seconds until a deadline in boot time, 0 if it has passed."""
     return max(0.0, deadline_s - boot_time_s())
 
 
-def left_ms(deadline_s: float) -> int:
+def remaining_ms(deadline_s: float) -> int:
     """Return the whole milliseconds until a deadline in boot time, 0 if it has passed."""
-    return int(left_s(deadline_s) * 1000)
+    return int(remaining_s(deadline_s) * 1000)
 
 
 def wall_clock_ms() -> int:
--- a/src/yokedock/base/patience.py
+++ b/src/yokedock/base/read_first_timeout.py
@@ -13,7 +13,7 @@
 from typing import Self
 
 
-class Patience:
+class ReadFirstTimeout:
     """An asynchronous context manager that raises ``TimeoutError`` when its time is over."""
 
     def __init__(self, delay_s: float) -> None:
--- a/src/yokedock/connection/backend_connection.py
+++ b/src/yokedock/connection/backend_connection.py
@@ -16,7 +16,7 @@
 import h11
 
 from yokedock.base.clock import boot_time_s, wall_clock_ms
-from yokedock.base.patience import Patience
+from yokedock.base.read_first_timeout import ReadFirstTimeout
 from yokedock.base.sockets import new_socket
 from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
 from yokedock.router_errors import (
@@ -250,7 +250,7 @@
         own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNSENT_LIMIT_MS)
         try:
-            async with Patience(timeout_s):
+            async with ReadFirstTimeout(timeout_s):
                 await asyncio.get_running_loop().sock_connect(own_socket, (host, int(port)))
         except TimeoutError:
             raise BackendUnreachable(f"{address} did not accept in {timeout_s:.2f} s") from None
--- a/src/yokedock/connection/backend_pool.py
+++ b/src/yokedock/connection/backend_pool.py
@@ -21,18 +21,18 @@
         address: str,
         timeout_s: float,
         longest_rest_s: float = LONGEST_REST_S,
-        heard_after_s: float = 0.0,
+        min_last_receive_s: float = 0.0,
     ) -> BackendConnection:
         """Return a connection that rested for at most ``longest_rest_s``, or a new one.
 
-        A resting one must have brought something after ``heard_after_s`` (boot time).
+        A resting one must have brought something after ``min_last_receive_s`` (boot time).
 
         Raises ``BackendUnreachable`` when none can be opened.
         """
         resting = self._resting.get(address, [])
         while resting:
             connection = resting.pop()
-            is_proven = connection.heard_s > heard_after_s
+            is_proven = connection.heard_s > min_last_receive_s
             if connection.is_reusable and connection.rested_s() <= longest_rest_s and is_proven:
                 return connection
             connection.close()
@@ -64,7 +64,7 @@
         for address in list(self._resting):
             self.forget(address)
 
-    def drop_quiet(self, address: str, since_s: float) -> None:
+    def drop_silent(self, address: str, since_s: float) -> None:
         """Close what rests at ``address`` and has brought nothing since ``since_s`` (boot time)."""
         self._keep(address, lambda connection: connection.heard_s > since_s)
 
--- a/src/yokedock/connection/caller_connection.py
+++ b/src/yokedock/connection/caller_connection.py
@@ -15,7 +15,7 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
-from yokedock.base.patience import Patience
+from yokedock.base.read_first_timeout import ReadFirstTimeout
 from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.caller_presence import has_left
 from yokedock.connection.caller_request import CallerRequest, check_head
@@ -153,8 +153,8 @@
                 return RequestHead(headers, event.method, event.target, event.http_version)
             if event is not h11.NEED_DATA:
                 return None
-            left_s = until_s - boot_time_s()
-            if left_s <= 0 or not await self._receive(left_s):
+            remaining_s = until_s - boot_time_s()
+            if remaining_s <= 0 or not await self._receive(remaining_s):
                 if self._reader.at_eof():
                     return None
                 raise RequestTimeout("the head did not arrive in time; send it at once")
@@ -196,7 +196,7 @@
     async def _receive(self, timeout_s: float) -> bool:
         """Hand more bytes to the parser; return False at the end or after ``timeout_s``."""
         try:
-            async with Patience(timeout_s):
+            async with ReadFirstTimeout(timeout_s):
                 data = await self._reader.read(READ_BYTES)
         except TimeoutError:
             return False
--- a/src/yokedock/connection/head_numbers.py
+++ b/src/yokedock/connection/head_numbers.py
@@ -9,10 +9,10 @@
 import math
 import re
 
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 """Whole numbers are below 2**63."""
 _DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]+)?")
-_WHOLE = re.compile(f"[0-9]{{1,{MOST_DIGITS}}}")
+_WHOLE = re.compile(f"[0-9]{{1,{MAX_DIGITS}}}")
 
 
 def decimal_number(text: str) -> float | None:
--- a/src/yokedock/connection/http_get.py
+++ b/src/yokedock/connection/http_get.py
@@ -31,7 +31,7 @@
         self._pool = BackendPool()
         self._share = ReadShare()
 
-    def share_read(self) -> float:
+    def received_fraction(self) -> float:
         """Return how much of the answer has come that is being read or was read last, 0 to 1."""
         return self._share.value()
 
--- a/src/yokedock/connection/router_gossip.py
+++ b/src/yokedock/connection/router_gossip.py
@@ -120,11 +120,11 @@
         while True:
             self._inbox.read_waiting()
             self._notice_silence()
-            left_s = self._sent_s + self._interval_s() - boot_time_s()
-            if left_s <= 0.0:
+            remaining_s = self._sent_s + self._interval_s() - boot_time_s()
+            if remaining_s <= 0.0:
                 self._speak()
-                left_s = self._interval_s()
-            await asyncio.sleep(min(left_s, INTERVAL_S))
+                remaining_s = self._interval_s()
+            await asyncio.sleep(min(remaining_s, INTERVAL_S))
 
     def _interval_s(self) -> float:
         """Return how long this router may say nothing."""
--- a/src/yokedock/connection/short_call.py
+++ b/src/yokedock/connection/short_call.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from yokedock.base.patience import Patience
+from yokedock.base.read_first_timeout import ReadFirstTimeout
 from yokedock.connection.backend_connection import LONGEST_REST_S, BackendConnection
 from yokedock.connection.backend_pool import BackendPool
 from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
@@ -94,7 +94,7 @@
     async with _connection(pool, address, limits) as connection:
         sent_s = asyncio.get_running_loop().time()
         try:
-            async with Patience(limits.answer_s) as time_limit:
+            async with ReadFirstTimeout(limits.answer_s) as time_limit:
                 head = RequestHead((), call.method, call.target)
                 await connection.send(head, [(b"Host", address.encode()), *call.headers], call.body)
                 answer = await connection.read_head(lambda _: True)
@@ -128,7 +128,7 @@
     return int(announced) if announced.isdecimal() else 0
 
 
-def _extend(time_limit: Patience, sent_s: float, progress: AnswerProgress | None) -> None:
+def _extend(time_limit: ReadFirstTimeout, sent_s: float, progress: AnswerProgress | None) -> None:
     """Give an answer that has just made progress its time to the next part."""
     if progress is not None:
         now_s = asyncio.get_running_loop().time()
--- a/src/yokedock/connection/state_source.py
+++ b/src/yokedock/connection/state_source.py
@@ -67,6 +67,6 @@
         Raises ``HistoryGone`` when the source no longer knows what came after ``position``.
         """
 
-    def share_read(self) -> float:
+    def received_fraction(self) -> float:
         """Return how much of the answer under way has come, from 0 to 1; 0 if that is not known."""
         return 0.0
--- a/src/yokedock/errors.py
+++ b/src/yokedock/errors.py
@@ -159,13 +159,13 @@
     code = "gateway_full"
 
 
-class NoDecodeRoom(Refused):
+class NoDecodeCapacity(Refused):
     """No decode engine has a slot in time, so no prefill was started."""
 
     code = "no_decode_room"
 
 
-class NoPrefillRoom(Refused):
+class NoPrefillCapacity(Refused):
     """No prefill engine can finish in time, so none was started."""
 
     code = "no_prefill_room"
--- a/src/yokedock/platform/store.py
+++ b/src/yokedock/platform/store.py
@@ -36,7 +36,7 @@
 Document = TypeVar("Document")
 ALL_KEYS = ""
 OK = 200
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 HISTORY_GONE = 410
 CONNECT_TIMEOUT_S = 0.5
 READ_TIMEOUT_S = 1.0
@@ -45,7 +45,7 @@
 MAX_CHANGES_RATIO = 1.5
 """Maximum size of a watch response, as a multiple of the last full read. A watch that starts far
 behind returns every later version in full, and only the newest of each item is of use."""
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 """Maximum number of decimal digits of an era, so that it fits into 64 bits."""
 MAX_LOGGED_ITEMS = 1_000
 """Maximum number of items remembered as already logged (150 kB). More invalid items than this are a
@@ -120,13 +120,13 @@
                 break
             after = page.items[-1].key
         self._full_read_bytes = size
-        changes = translate(tuple(items.values()), position, self.is_news)
+        changes = items_to_changes(tuple(items.values()), position, self.is_unreported)
         backends = {entry.instance: entry for entry in changes.changed}
         return StateSnapshot(position, changes.table, backends, changes.undecoded)
 
     async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
         """Return the changes after ``position``, or none if there are none within ``longest_s``."""
-        wait_ms = round(longest_s * MS_A_SECOND)
+        wait_ms = round(longest_s * MS_PER_SECOND)
         target = f"{WATCH_PATH}?pathPrefix={ALL_KEYS}&after={position.revision}"
         target += f"&{WAIT_FIELD}={wait_ms}"
         most_bytes = max(MIN_CHANGES_LIMIT_BYTES, round(MAX_CHANGES_RATIO * self._full_read_bytes))
@@ -140,7 +140,7 @@
         if answer.status == HISTORY_GONE:
             raise HistoryGone(f"the store has no changes after revision {position.revision}")
         watched = _decode(answer, WatchAnswer)
-        return translate(watched.events, SourcePosition(era, watched.at), self.is_news)
+        return items_to_changes(watched.events, SourcePosition(era, watched.at), self.is_unreported)
 
     def _reported_era(self, answer: ShortAnswer) -> int:
         """Return the era of a response, ``NO_ERA`` if absent or malformed; log any change."""
@@ -152,9 +152,9 @@
                 before=self._last_era[:MAX_LOGGED_CHARS],
             )
             self._last_era = era
-        return int(era) if era.isascii() and era.isdecimal() and len(era) <= MOST_DIGITS else NO_ERA
+        return int(era) if era.isascii() and era.isdecimal() and len(era) <= MAX_DIGITS else NO_ERA
 
-    def is_news(self, item: StoredItem) -> bool:
+    def is_unreported(self, item: StoredItem) -> bool:
         """Return whether this revision of an undecodable item is new, and remember it as logged."""
         is_new = self._logged.pop(item.key, None) != item.revision
         self._logged[item.key] = item.revision
@@ -166,9 +166,9 @@
         """Return the number of undecodable items that are remembered."""
         return len(self._logged)
 
-    def share_read(self) -> float:
+    def received_fraction(self) -> float:
         """Return the received fraction of the current response."""
-        return self._getter.share_read()
+        return self._getter.received_fraction()
 
 
 def _decode(answer: ShortAnswer, kind: type[Document]) -> Document:
@@ -180,12 +180,13 @@
         raise PlatformUnavailable(f"the store's response cannot be decoded: {error}") from None
 
 
-def translate(
+def items_to_changes(
     items: tuple[StoredItem, ...],
     position: SourcePosition,
-    is_news: Callable[[StoredItem], bool] = lambda item: True,
+    is_unreported: Callable[[StoredItem], bool] = lambda item: True,
 ) -> StateChanges:
-    """Convert items to changes; undecodable items are listed, and logged if ``is_news`` is true.
+    """Convert items to changes; undecodable items are listed, and logged if ``is_unreported`` is
+    true.
 
     An undecodable server entry removes the backend of that name; an undecodable configuration
     leaves the route table unchanged.
@@ -195,14 +196,14 @@
     last: dict[str, BackendEntry | None] = {}
     for item in items:
         if item.key == CONFIGURATION_KEY and not item.gone:
-            decoded = _decode_item(route_table, item, is_news)
+            decoded = _decode_item(route_table, item, is_unreported)
             if decoded is None:
                 undecoded.append(CONFIGURATION_KEY)
             table = decoded or table
         elif item.key.startswith(SERVERS_PREFIX):
             instance = item.key[len(SERVERS_PREFIX) :]
             read = functools.partial(backend_entry, instance, revision=item.revision)
-            entry = None if item.gone else _decode_item(read, item, is_news)
+            entry = None if item.gone else _decode_item(read, item, is_unreported)
             last[instance] = entry
             if entry is None and not item.gone:
                 undecoded.append(instance)
@@ -212,13 +213,13 @@
 
 
 def _decode_item(
-    read: Callable[[bytes], Document], item: StoredItem, is_news: Callable[[StoredItem], bool]
+    read: Callable[[bytes], Document], item: StoredItem, is_unreported: Callable[[StoredItem], bool]
 ) -> Document | None:
     """Return the decoded value of an item, None if it cannot be decoded."""
     try:
         return read(base64.b64decode(item.value, validate=True))
     except (ValueError, RecursionError) as error:
-        if is_news(item):
+        if is_unreported(item):
             reason = str(error)[:MAX_LOGGED_CHARS]
             _log.warning("not understood", key=item.key, revision=item.revision, reason=reason)
         return None
--- a/src/yokedock/process/agent.py
+++ b/src/yokedock/process/agent.py
@@ -9,7 +9,7 @@
 
 import pykka
 
-from yokedock.base.clock import boot_time_s, left_s, wall_clock_ms
+from yokedock.base.clock import boot_time_s, remaining_s, wall_clock_ms
 from yokedock.base.histograms import Histograms
 from yokedock.base.logs import logger
 from yokedock.base.metrics import Metrics
@@ -48,7 +48,7 @@
 from yokedock.request.engine_attempt import EngineSetup
 from yokedock.request.engine_backend import EngineBackend
 from yokedock.request.home_check import BundleHomeCheck
-from yokedock.request.idempotency import IdempotencyRecord
+from yokedock.request.idempotency import IdempotencyStore
 from yokedock.request.service_backend import ServiceBackend
 from yokedock.version.bundle import Bundle, Model
 from yokedock.version.bundle_store import BundleStore
@@ -112,7 +112,7 @@
         if backend.kind == "service":
             client = ServiceClient(backend.url, backend.connect_timeout_ms / 1000)
             check = BundleHomeCheck(self.name, lambda: self._watch.confirmed_s, self._ask_agent)
-            record = IdempotencyRecord(self.incarnation_ms)
+            record = IdempotencyStore(self.incarnation_ms)
             return ServiceBackend(self.name, client, record, self.store.current, check)
         engine = HttpEngineClient(
             backend.url,
@@ -168,7 +168,7 @@
         self._announce()
         _log.info("draining", name=self.name, in_flight=self.backend.in_flight())
         deadline_s = boot_time_s() + limit_s
-        while self.backend.in_flight() and left_s(deadline_s):
+        while self.backend.in_flight() and remaining_s(deadline_s):
             time.sleep(DRAIN_POLL_S)
         return self.backend.in_flight() == 0
 
@@ -316,7 +316,7 @@
         """Return the peer, waiting a moment for a new link to come up."""
         peer = self._peers.get(PeerAddress(name, "", address))
         deadline_s = boot_time_s() + timeout_s
-        while peer.view.load is None and left_s(deadline_s):
+        while peer.view.load is None and remaining_s(deadline_s):
             time.sleep(0.005)
         return peer
 
--- a/src/yokedock/process/caller_http.py
+++ b/src/yokedock/process/caller_http.py
@@ -29,6 +29,7 @@
 from yokedock.request.openai_format import (
     REQUEST_ID_HEADER,
     AnswerFormat,
+    BufferedAnswerWriter,
     ChatRequest,
     CompletionRequest,
     EventStreamWriter,
@@ -36,7 +37,6 @@
     ModelEntry,
     ModelListing,
     Usage,
-    WholeAnswerWriter,
     split_adapter,
 )
 from yokedock.request.prefix import estimate_tokens
@@ -175,7 +175,7 @@
         order: ModelOrder,
         answer_format: AnswerFormat,
     ) -> HttpResponse:
-        stream = AnswerStream(WholeAnswerWriter(), order.max_tokens)
+        stream = AnswerStream(BufferedAnswerWriter(), order.max_tokens)
         try:
             with self._watchdog.watching(context, request, stream):
                 self._models.serve(context, order, stream)
--- a/src/yokedock/process/engine_watch.py
+++ b/src/yokedock/process/engine_watch.py
@@ -55,9 +55,9 @@
             now = boot_time_s()
             if step.tokens:
                 if last_s:
-                    self._backend.slots.step_took(min(now - last_s, 1.0))
+                    self._backend.slots.add_step_time(min(now - last_s, 1.0))
                 last_s = now
-                self._backend.step_arrived(step)
+                self._backend.on_step(step)
             else:
                 last_s = 0.0
             if self._stopping.is_set():
@@ -111,7 +111,7 @@
 
     def _reconcile(self) -> None:
         held = {item.request for item in self._engine.held().items}
-        unknown = self._backend.unknown_at_engine(held)
+        unknown = self._backend.unknown_attempts(held)
         for request in unknown & self._suspects:
             _log.warning("cancelling what nobody ordered", attempt=request)
             self._backend.cancel_unknown(request)
@@ -120,7 +120,7 @@
     def _read_cache_events(self) -> None:
         events = self._engine.cache_events(self._cache_position)
         if not events.complete or events.next < self._cache_position:
-            self._backend.known_blocks.forget_all()
+            self._backend.prefix_cache_index.forget_all()
         self._cache_position = events.next
-        self._backend.known_blocks.learn(events.cached)
-        self._backend.known_blocks.forget(events.evicted)
+        self._backend.prefix_cache_index.learn(events.cached)
+        self._backend.prefix_cache_index.forget(events.evicted)
--- a/src/yokedock/process/fleet_talk.py
+++ b/src/yokedock/process/fleet_talk.py
@@ -18,12 +18,12 @@
 from yokedock.process.state_exchange import StateExchange
 from yokedock.process.state_follower import StateFollower
 from yokedock.process.watch_duty import SourceContact
+from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.backend_talk import BackendTalk
 from yokedock.request.engine_ledger import EngineLedger
-from yokedock.request.placement_queue import QueuedPlacement
 from yokedock.request.poison_requests import PoisonRequests
-from yokedock.request.queues_elsewhere import QueuesElsewhere
+from yokedock.request.queued_placement import QueuedPlacement
+from yokedock.request.remote_queues import RemoteQueues
 
 _log = logger("router")
 
@@ -38,10 +38,10 @@
     leadership: Leadership
     roles: RoleBalancer
     registry: BackendRegistry
-    backends: BackendTalk
+    backends: BackendGossip
     ledger: EngineLedger
     placement: QueuedPlacement
-    queues_elsewhere: QueuesElsewhere
+    remote_queues: RemoteQueues
     poison: PoisonRequests
     stop: StopState
 
@@ -81,7 +81,7 @@
             parts.follower.news(),
             parts.backends.broken(),
             parts.poison.told(),
-            parts.backends.said_leaving(),
+            parts.backends.recently_leaving(),
             parts.backends.limits(),
             era=parts.follower.position.era,
         )
@@ -103,15 +103,15 @@
         assert other.state is not None
         state = other.state
         parts.ledger.heard(other.address, state.shares, other.heard_s)
-        if parts.queues_elsewhere.heard(other.address, state.queues, other.heard_s):
-            parts.ledger.on_room()
+        if parts.remote_queues.heard(other.address, state.queues, other.heard_s):
+            parts.ledger.on_capacity_freed()
         self._highest_token = max(self._highest_token, state.token)
         parts.leadership.heard(Vote(other.address, state.leader, other.heard_s, state.is_leaving))
         parts.registry.set_changing(other.address, state.changing)
-        parts.backends.heard_broken(state.broken, other.heard_s)
+        parts.backends.apply_remote_broken(state.broken, other.heard_s)
         parts.poison.heard(state.suspects, other.heard_s)
-        parts.backends.heard_leaving(state.leaving, other.heard_s)
-        parts.backends.heard_limits(other.address, state.limits, other.heard_s)
+        parts.backends.apply_remote_leaving(state.leaving, other.heard_s)
+        parts.backends.apply_remote_limits(other.address, state.limits, other.heard_s)
         parts.follower.take_news(state.news)
         parts.exchange.heard(state)
 
@@ -131,6 +131,6 @@
         """Drop what a router told that is no longer heard."""
         parts = self._parts
         parts.registry.set_changing(other.address, ())
-        parts.backends.forget_limits(other.address)
-        parts.queues_elsewhere.forget(other.address)
+        parts.backends.drop_waiting_of(other.address)
+        parts.remote_queues.forget(other.address)
         parts.ledger.forget(other.address)
--- a/src/yokedock/process/gateway.py
+++ b/src/yokedock/process/gateway.py
@@ -5,7 +5,7 @@
 import threading
 import time
 
-from yokedock.base.clock import boot_time_s, left_s, wall_clock_ms
+from yokedock.base.clock import boot_time_s, remaining_s, wall_clock_ms
 from yokedock.base.histograms import Histograms
 from yokedock.base.logs import logger
 from yokedock.base.metrics import Metrics
@@ -131,9 +131,9 @@
         self._admission.close()
         _log.info("draining", name=self.name, in_flight=self._admission.in_flight)
         deadline_s = boot_time_s() + self.settings.caller.drain_limit_s
-        while self._admission.in_flight and left_s(deadline_s):
+        while self._admission.in_flight and remaining_s(deadline_s):
             time.sleep(DRAIN_POLL_S)
-        while not self._server.is_flushed() and left_s(deadline_s):
+        while not self._server.is_flushed() and remaining_s(deadline_s):
             time.sleep(DRAIN_POLL_S)
         return self._admission.in_flight == 0
 
@@ -179,7 +179,7 @@
         while not self.store.wait(READY_CHECK_S) and not self._stopping.is_set():
             pass
         limit_s = boot_time_s() + COMPARE_LIMIT_S
-        while left_s(limit_s) and not self._stopping.is_set():
+        while remaining_s(limit_s) and not self._stopping.is_set():
             peers = self.peers.all()
             heard = [p for p in peers if p.view.load is not None]
             newest = max((p.view.stamp.version for p in heard), default=0)
@@ -272,9 +272,9 @@
         return RoundRobinPolicy()
     return CorrectedLoadPolicy(
         settings.process.zone,
-        reserves=placement.reserve,
+        reserves_decode=placement.reserve,
         uses_prefix=placement.prefix_affinity,
-        corrects=placement.correct_load,
+        corrects_load=placement.correct_load,
     )
 
 
--- a/src/yokedock/process/log_explain.py
+++ b/src/yokedock/process/log_explain.py
@@ -18,7 +18,7 @@
 from yokedock.process.tables import format_table
 
 SERVER_ERROR = 500
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 REFUSALS = frozenset({"no_decode_room", "no_backend", "not_ready"})
 LOST = frozenset({"backend_answer_lost", "backend_broken", "backend_closed", "backend_silent"})
 """Codes of the router's errors, by what they mean for the caller."""
@@ -137,7 +137,7 @@
         if line.event == "request":
             end = msgspec.json.decode(data, type=RequestLine)
             if end.request:
-                self.ends[end.request] = (at_s - end.held_ms / MS_A_SECOND, end)
+                self.ends[end.request] = (at_s - end.held_ms / MS_PER_SECOND, end)
         elif line.event == "stream":
             stream = msgspec.json.decode(data, type=StreamLine)
             self.streams[stream.request] = stream
--- a/src/yokedock/process/request_intake.py
+++ b/src/yokedock/process/request_intake.py
@@ -17,11 +17,11 @@
 from yokedock.process.router_metrics import NO_ROUTE, RouterMetrics
 from yokedock.process.state_follower import StateFollower
 from yokedock.request.generation_call import GenerationCalls
-from yokedock.request.opaque_call import OpaqueCalls
 from yokedock.request.quarantine import QuarantineGuard
 from yokedock.request.request_digest import digest_text
 from yokedock.request.request_outcome import ANSWERED
 from yokedock.request.routed_call import RoutedCall
+from yokedock.request.unary_call import UnaryCalls
 from yokedock.router_errors import BackendAnswerLost
 from yokedock.version.route_table import Route, RouteTable, ServiceSpec
 
@@ -65,7 +65,7 @@
         follower: StateFollower,
         dialect: Dialect,
         generations: GenerationCalls,
-        opaque: OpaqueCalls,
+        opaque: UnaryCalls,
         guard: QuarantineGuard,
         metrics: RouterMetrics,
         stop: StopState,
--- a/src/yokedock/process/request_story.py
+++ b/src/yokedock/process/request_story.py
@@ -20,7 +20,7 @@
 LINE_START = b'{"time"'
 LOG_PATTERN = "*.log"
 """Files of a directory that are taken for logs of routers."""
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 
 
 class StoryLine(msgspec.Struct):
--- a/src/yokedock/process/role_balancer.py
+++ b/src/yokedock/process/role_balancer.py
@@ -10,11 +10,11 @@
 from yokedock.connection.backend_pool import BackendPool
 from yokedock.connection.dialect import Dialect, EncodedOrder, RoleOrder
 from yokedock.connection.short_call import CallLimits, ShortCall, short_call
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.engine_placement import DECODE_ROLE, PREFILL_ROLE
-from yokedock.request.role_plan import EngineRole, RoleChange, wanted_changes
+from yokedock.request.role_plan import EngineRole, RoleChange, planned_role_changes
 from yokedock.router_errors import BackendBroken, BackendUnreachable
 from yokedock.version.route_table import RouteTable, ServiceSpec
 
@@ -96,7 +96,7 @@
         if settled_s < SETTLED_S:
             return
         roles = [self._role(engine) for engine in engines]
-        changes = wanted_changes(roles, PREFILL_ROLE, DECODE_ROLE, most)
+        changes = planned_role_changes(roles, PREFILL_ROLE, DECODE_ROLE, most)
         if not changes or changes[0].name in changing:
             return
         if changes[0].role == PREFILL_ROLE and settled_s < MISSING_READER_S:
@@ -165,7 +165,7 @@
             answer = await short_call(self._pool, backend.entry.address, call, limits)
             notes = self._dialect.answer_notes(answer.head)
             now_s = boot_time_s()
-            backend.take_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
+            backend.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             return answer.status
         except (BackendUnreachable, BackendBroken):
             return None
--- a/src/yokedock/process/role_manager.py
+++ b/src/yokedock/process/role_manager.py
@@ -17,7 +17,7 @@
 from yokedock.errors import YokedockError
 from yokedock.request.engine_backend import EngineBackend
 from yokedock.version.bundle import ROLE_DECODE, ROLE_FLEXIBLE, Bundle
-from yokedock.version.role_ladder import EnginePlan, LadderPosition, ladder_position, wanted_role
+from yokedock.version.role_ladder import EnginePlan, LadderPosition, desired_role, ladder_position
 
 _log = logger("role")
 
@@ -87,7 +87,7 @@
             self._mean_share = mean + (share - mean) * SMOOTHING
         if self._mean_share is None or boot_time_s() - self._changed_s < plan.dwell_s:
             return present or ROLE_DECODE
-        return wanted_role(position, self._mean_share, present)
+        return desired_role(position, self._mean_share, present)
 
     def _change(self, role: str) -> None:
         """Drain, order the change, announce: grants stop before and start after."""
--- a/src/yokedock/process/router.py
+++ b/src/yokedock/process/router.py
@@ -37,20 +37,20 @@
 from yokedock.process.wake_watch import WakeWatch
 from yokedock.process.watch_duty import WatchDuty
 from yokedock.request.backend_exchange import BackendExchanges
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_gossip import BackendGossip
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_limits import BackendLimits
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.request.backend_talk import BackendTalk
 from yokedock.request.cache_lookup import CacheLookup
 from yokedock.request.connection_shares import ConnectionShares
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.generation_call import GenerationCalls
-from yokedock.request.opaque_call import OpaqueCalls
-from yokedock.request.placement_queue import QueuedPlacement
 from yokedock.request.poison_requests import PoisonRequests
 from yokedock.request.quarantine import QuarantineGuard
-from yokedock.request.queues_elsewhere import QueuesElsewhere
+from yokedock.request.queued_placement import QueuedPlacement
+from yokedock.request.remote_queues import RemoteQueues
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
+from yokedock.request.unary_call import UnaryCalls
 from yokedock.version.route_table import CallerLimits, RouteTable
 
 _log = logger("router")
@@ -105,7 +105,7 @@
         self._shares = ConnectionShares(self._gossip.known)
         self._registry.connection_share = self._connection_share
         exchanges = BackendExchanges(self._pool, dialect, self._poison, self._shares)
-        self._queues_elsewhere = QueuesElsewhere(own_address)
+        self._queues_elsewhere = RemoteQueues(own_address)
         placement = QueuedPlacement(
             self._registry,
             self._ledger,
@@ -128,7 +128,7 @@
                 lookup,
                 mechanisms,
             ),
-            OpaqueCalls(self._registry, exchanges, allowance),
+            UnaryCalls(self._registry, exchanges, allowance),
             QuarantineGuard(self._poison),
             self._metrics,
             self._stop,
@@ -171,7 +171,7 @@
                 self._leadership,
                 self._roles,
                 self._registry,
-                BackendTalk(self._registry),
+                BackendGossip(self._registry),
                 self._ledger,
                 placement,
                 self._queues_elsewhere,
@@ -186,11 +186,11 @@
         """Have each part tell the others of its changes."""
         self._follower.on_news = self._gossip.change
         self._ledger.on_change = self._gossip.change
-        self._poison.on_end = self._gossip.change
+        self._poison.on_crash_detected = self._gossip.change
         self._registry.limits.on_change = self._gossip.change
-        self._gossip.for_newcomers = self._poison.told_to_newcomer
+        self._gossip.for_newcomers = self._poison.report_for_new_router
         self._registry.on_change = self._backends_changed
-        self._registry.on_new_life = self._life_ended
+        self._registry.on_restart = self._life_ended
 
     # --- Life ---
 
@@ -371,7 +371,7 @@
     # --- Backends ---
 
     def _backends_changed(self) -> None:
-        self._ledger.on_room()
+        self._ledger.on_capacity_freed()
 
     def _life_ended(self, backend: Backend) -> None:
         """Drop what rests at a backend that has started anew; the rest hangs on its life's name."""
--- a/src/yokedock/process/router_metrics.py
+++ b/src/yokedock/process/router_metrics.py
@@ -42,7 +42,7 @@
 MOST_BINS = 1024
 """Bins of one histogram: enough for 1 us to 10 days at that error."""
 QUANTILES = (0.5, 0.95, 0.99)
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 
 
 class RouterMetrics:
@@ -134,7 +134,7 @@
             labels = f'route="{route}",measure="{measure}"'
             yield f"router_ms_count{{{labels}}} {histogram.count:g}"
             for quantile in QUANTILES:
-                milliseconds = (histogram.get_quantile_value(quantile) or 0.0) * MS_A_SECOND
+                milliseconds = (histogram.get_quantile_value(quantile) or 0.0) * MS_PER_SECOND
                 yield f'router_ms{{{labels},quantile="{quantile:.2f}"}} {milliseconds:.3g}'
         yield f"router_values_dropped {self._dropped}"
         for kind, count in sorted(self.guard.failures.items()):
--- a/src/yokedock/process/router_upkeep.py
+++ b/src/yokedock/process/router_upkeep.py
@@ -83,9 +83,9 @@
         return (
             tables.pool.drop_stale,
             self._close_beyond_share,
-            tables.registry.drop_gone,
+            tables.registry.drop_expired_backends,
             self._drop_gone_engines,
-            tables.ledger.drop_lapsed,
+            tables.ledger.drop_expired,
             tables.lookup.drop_stale,
             tables.allowance.drop_old,
             tables.poison.drop_old,
--- a/src/yokedock/process/state_exchange.py
+++ b/src/yokedock/process/state_exchange.py
@@ -46,7 +46,7 @@
 RETRY_S = 0.1
 """Pause before another router is asked."""
 OK = 200
-MOST_DIGITS = 18
+MAX_DIGITS = 18
 """Versions are below 2**63."""
 MOST_TABLE_BYTES = 16_777_216
 """Bound of an unpacked table, many times the largest that is known."""
@@ -97,7 +97,7 @@
     def answer(self, query: str) -> bytes:
         """Return the state for a router that asked with ``query``; raises ``BadRequest``."""
         asked = parse_qs(query).get(VERSION_FIELD, ["0"])[0]
-        if not asked.isdecimal() or len(asked) > MOST_DIGITS:
+        if not asked.isdecimal() or len(asked) > MAX_DIGITS:
             raise BadRequest(f"{VERSION_FIELD} is no version; send a whole number")
         known = self._follower.snapshot()
         packed = b""
--- a/src/yokedock/process/state_follower.py
+++ b/src/yokedock/process/state_follower.py
@@ -14,7 +14,7 @@
 from yokedock.errors import PlatformUnavailable
 from yokedock.process.interruptible_call import InterruptibleCall
 from yokedock.process.state_news import RecentNews
-from yokedock.process.watch_duty import MS_A_SECOND, NEVER, OWN_WATCH_S, WatchDuty
+from yokedock.process.watch_duty import MS_PER_SECOND, NEVER, OWN_WATCH_S, WatchDuty
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.list_restoration import MISSING_GRACE_S, AppliedHistory
 from yokedock.router_errors import HistoryGone
@@ -112,7 +112,7 @@
         """Return how long ago the source answered, ``NEVER`` if it did not the last time."""
         if self._has_failed:
             return NEVER
-        return round(self.silent_s() * MS_A_SECOND)
+        return round(self.silent_s() * MS_PER_SECOND)
 
     def age_s(self) -> float:
         """Return how old what is known may be: since the source answered anyone that is heard."""
@@ -148,7 +148,7 @@
         """
         is_newer = self._adopt_table(snapshot.table)
         is_newer = is_newer or snapshot.position.era > self.position.era
-        has_just_begun = self._source.share_read() < FINISHED_SHARE
+        has_just_begun = self._source.received_fraction() < FINISHED_SHARE
         if is_newer and has_just_begun:
             self._reading.interrupt()
         if snapshot.position > self.position:
--- a/src/yokedock/process/wake_watch.py
+++ b/src/yokedock/process/wake_watch.py
@@ -38,14 +38,14 @@
 
     def look(self) -> None:
         """Note a suspension since the last look."""
-        slept_s = self._meter.slept_s()
-        if slept_s < LEAST_SLEEP_S:
+        suspended_for_s = self._meter.suspended_for_s()
+        if suspended_for_s < LEAST_SLEEP_S:
             return
         self._wakes += 1
-        self._slept_s += slept_s
+        self._slept_s += suspended_for_s
         dropped = self._pool.size()
         self._pool.forget_all()
-        _log.warning("machine slept", slept_ms=round(slept_s * 1000), connections=dropped)
+        _log.warning("machine slept", slept_ms=round(suspended_for_s * 1000), connections=dropped)
 
     def levels(self) -> dict[str, float]:
         """Return what operators see: suspensions since the start, and their seconds."""
--- a/src/yokedock/process/watch_duty.py
+++ b/src/yokedock/process/watch_duty.py
@@ -37,7 +37,7 @@
 routers from reading simultaneously when the initial readers are cut off."""
 NEVER = -1
 """Told instead of an age: the source never answered, or refused the last call."""
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 MOST_RANKS = 4096
 """Routers whose place in the order is kept at hand."""
 
@@ -56,7 +56,7 @@
         """Return how long ago the source answered, None if it did not."""
         if self.age_ms == NEVER:
             return None
-        return self.age_ms / MS_A_SECOND + now_s - self.heard_s
+        return self.age_ms / MS_PER_SECOND + now_s - self.heard_s
 
 
 class WatchDuty:
--- a/src/yokedock/request/answer_stream.py
+++ b/src/yokedock/request/answer_stream.py
@@ -26,7 +26,7 @@
         """Write a typed error as the final event."""
 
 
-class StreamClock:
+class TokenTimings:
     """Token timings of one response for the latency histograms."""
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         """Parts after a gap that a pending resume will fill; None if no resume is pending."""
         self.tokens: list[str] = []
         self.finish = ""
-        self.clock = StreamClock()
+        self.clock = TokenTimings()
         self.last_progress_s = boot_time_s()
 
     def begin_attempt(self, attempt: str) -> None:
--- a/src/yokedock/request/attempt.py
+++ b/src/yokedock/request/attempt.py
@@ -13,8 +13,8 @@
 from yokedock.connection.peer_view import AgentPeerHandle
 from yokedock.errors import (
     AttemptLost,
-    NoDecodeRoom,
-    NoPrefillRoom,
+    NoDecodeCapacity,
+    NoPrefillCapacity,
     NotReady,
     PeerNeverReached,
     PeerUnreachable,
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Placed:
+class AttemptPlacement:
     """Engines chosen for one attempt, for logs and the demo's report."""
 
     attempt: str
@@ -104,7 +104,7 @@
         order: ModelOrder,
         stream: AnswerStream,
         attempt: str,
-        placed: list[Placed],
+        placed: list[AttemptPlacement],
     ) -> None:
         """Initialize the attempt with id ``attempt``; its placement is appended to ``placed``."""
         self._services = services
@@ -133,7 +133,9 @@
             decode_peer, free_s = self._reserve(decode_peers, choices[0].predicted_s)
             self._delay_prefill(free_s, choices[0].predicted_s)
             prefill_peer, prefilled = self._prefill(choices)
-            self._placed.append(Placed(self._attempt, prefill_peer.name, decode_peer.name))
+            self._placed.append(
+                AttemptPlacement(self._attempt, prefill_peer.name, decode_peer.name)
+            )
             self._decode(decode_peer, prefilled)
             self._release_at(prefill_peer)
             self._finish(decode_peer)
@@ -145,11 +147,11 @@
         self, peers: list[AgentPeerHandle], predicted_s: float
     ) -> tuple[AgentPeerHandle, float]:
         """Reserve a slot on the first engine that can provide one in time."""
-        refusal: YokedockError = NoDecodeRoom("no decode engine is available; retry later")
+        refusal: YokedockError = NoDecodeCapacity("no decode engine is available; retry later")
         soonest_s = NEVER_S
         for peer in peers[:DECODE_CANDIDATES]:
             self._hold(peer)
-            self._policy.decode_sent(peer)
+            self._policy.record_decode_placement(peer)
             try:
                 reserved = self._call(
                     peer,
@@ -173,8 +175,8 @@
         waited_ms = int((boot_time_s() - self._started_s) * 1000)
         latest_ms = first_token_ms - waited_ms - FIRST_STEP_MARGIN_MS
         ready_by_ms = max(predicted_ms, latest_ms)
-        if not self._policy.reserves:
-            ready_by_ms = self._context.left_ms()
+        if not self._policy.reserves_decode:
+            ready_by_ms = self._context.remaining_ms()
         return Reserve(
             self._attempt,
             version,
@@ -188,16 +190,16 @@
     def _delay_prefill(self, free_s: float, predicted_s: float) -> None:
         """Delay the prefill until its slot is nearly free: results expire within seconds."""
         early_s = free_s - predicted_s - MAX_PREFILL_LEAD_S
-        if early_s > 0 and self._policy.reserves:
-            time.sleep(min(early_s, self._context.left_ms() / 1000))
+        if early_s > 0 and self._policy.reserves_decode:
+            time.sleep(min(early_s, self._context.remaining_ms() / 1000))
             self._context.check()
 
     def _prefill(self, choices: list[PrefillChoice]) -> tuple[AgentPeerHandle, Prefilled]:
         """Run the prefill on the first engine that can finish it in time."""
-        refusal: YokedockError = NoPrefillRoom("no prefill engine is available; retry later")
+        refusal: YokedockError = NoPrefillCapacity("no prefill engine is available; retry later")
         for choice in choices[:PREFILL_CANDIDATES]:
             self._hold(choice.peer)
-            self._policy.prefill_sent(choice.peer, self._tokens)
+            self._policy.record_prefill_placement(choice.peer, self._tokens)
             first_token_by_ms = self._first_token_by_ms()
             had_run, self._context.may_have_run = self._context.may_have_run, True
             try:
@@ -219,11 +221,11 @@
 
     def _first_token_by_ms(self) -> int:
         """Return the time left until the first token of this attempt is due."""
-        if not self._policy.reserves:
-            return self._context.left_ms()
+        if not self._policy.reserves_decode:
+            return self._context.remaining_ms()
         target_ms = self._context.caller.request_class.first_token_ms
         waited_ms = int((boot_time_s() - self._started_s) * 1000)
-        return max(0, min(target_ms - waited_ms, self._context.left_ms()))
+        return max(0, min(target_ms - waited_ms, self._context.remaining_ms()))
 
     def _prefill_timeout_s(self, predicted_s: float) -> float:
         """Return the timeout of the prefill call.
@@ -231,8 +233,8 @@
         It is longer than the target, since the agent itself replies if it cannot meet the target.
         """
         target_s = self._context.caller.request_class.first_token_ms / 1000
-        if not self._policy.reserves:
-            target_s = self._context.left_ms() / 1000
+        if not self._policy.reserves_decode:
+            target_s = self._context.remaining_ms() / 1000
         return max(target_s, 2 * predicted_s) + PREFILL_GRACE_S
 
     def _prefill_message(self, first_token_by_ms: int, version: int) -> Prefill:
@@ -276,7 +278,7 @@
             self._first_sequence,
             self._stream.tokens_left(),
             self._context.priority,
-            self._context.left_ms(),
+            self._context.remaining_ms(),
             self._order.sampling,
         )
 
--- a/src/yokedock/request/releaser.py
+++ b/src/yokedock/request/attempt_canceller.py
@@ -13,7 +13,7 @@
 RETRY_S = 0.2
 
 
-class Releaser(threading.Thread):
+class AttemptCanceller(threading.Thread):
     """Thread that retries each cancellation until the engine confirms it."""
 
     def __init__(self, engine: EngineDialect, confirmed: Callable[[str], None]) -> None:
--- a/src/yokedock/request/backend.py
+++ b/src/yokedock/request/backend.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from yokedock.messages import AnyMessage, LoadReport, StepFrame
-from yokedock.request.known_blocks import BlockChanges
+from yokedock.request.prefix_cache_index import BlockChanges
 
 SendFrame = Callable[[StepFrame], None]
 """Sends generated tokens to the gateway that owns the stream."""
--- a/src/yokedock/request/backend_exchange.py
+++ b/src/yokedock/request/backend_exchange.py
@@ -9,23 +9,23 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
-from yokedock.base.patience import Patience
+from yokedock.base.read_first_timeout import ReadFirstTimeout
 from yokedock.connection.backend_connection import LONGEST_REST_S, BackendConnection
 from yokedock.connection.backend_pool import BackendPool
 from yokedock.connection.dialect import AnswerNotes, BackendOrder, Dialect
 from yokedock.connection.http_heads import AnswerHead
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.connection_shares import ConnectionShares
 from yokedock.request.poison_requests import PoisonRequests
 from yokedock.request.request_digest import digest_text
-from yokedock.request.routed_call import NOT_SENT, RoutedCall, WholeAnswer
+from yokedock.request.routed_call import NOT_SENT, BufferedAnswer, RoutedCall
 from yokedock.router_errors import (
     BackendBroken,
     BackendClosed,
+    BackendNotAccepting,
     BackendRefused,
     BackendSilent,
     BackendUnreachable,
-    BackendUnwilling,
 )
 
 _log = logger("exchange")
@@ -57,7 +57,7 @@
         self.is_whole = False
         self.is_sent = False
         self.on_silence: Callable[[], None] = lambda: None
-        """Called when the time set with ``suspect_after`` has passed without data."""
+        """Called when the time set with ``start_silence_timer`` has passed without data."""
         self._silence_timer: asyncio.TimerHandle | None = None
         self._connection = connection
         self._dialect = dialect
@@ -83,18 +83,18 @@
         self.is_sent = True
         await self._connection.send(call.request.head, headers, call.request.body)
 
-    def suspect_after(self, quiet_s: float) -> None:
-        """Call ``on_silence`` once no data has arrived for ``quiet_s``, and continue to wait.
+    def start_silence_timer(self, max_silence_s: float) -> None:
+        """Call ``on_silence`` once no data has arrived for ``max_silence_s``, and continue to wait.
 
         A request that must not be repeated waits for its response or its deadline; this keeps other
         requests off connections that have probably failed in the same way.
         """
-        due_s = quiet_s - (boot_time_s() - self._connection.awaited_since_s())
+        due_s = max_silence_s - (boot_time_s() - self._connection.awaited_since_s())
         if due_s <= 0:
             self.on_silence()
             return
         loop = asyncio.get_running_loop()
-        self._silence_timer = loop.call_later(due_s, self.suspect_after, quiet_s)
+        self._silence_timer = loop.call_later(due_s, self.start_silence_timer, max_silence_s)
 
     def close(self) -> None:
         """Stop the silence timer."""
@@ -108,11 +108,11 @@
         ``BackendBroken`` if no valid response arrives within ``timeout_s``.
         """
         try:
-            async with Patience(timeout_s):
+            async with ReadFirstTimeout(timeout_s):
                 head = await self._connection.read_head(self._matches_request)
         except TimeoutError:
             if timeout_s >= SILENT_S:
-                self.backend.health.note_silence(boot_time_s())
+                self.backend.health.record_silence(boot_time_s())
             message = f"{self.backend.name} sent no response within {timeout_s:.2f} s"
             raise BackendSilent(message) from None
         notes = self._notes
@@ -120,7 +120,7 @@
         self.backend.load = notes.load or self.backend.load
         if notes.is_elsewhere:
             self.backend.record_gone(boot_time_s())
-        self._poison.note_alive(self.backend.life, self._sent_s)
+        self._poison.record_alive(self.backend.life, self._sent_s)
         if notes.is_not_run:
             raise BackendRefused(
                 f"{self.backend.name} refused the request with status {head.status}"
@@ -131,7 +131,7 @@
             self._check_origin(head, notes)
         return head
 
-    async def read_whole(self, patience_s: float) -> WholeAnswer:
+    async def read_whole(self, patience_s: float) -> BufferedAnswer:
         """Return the head and the complete body; raises as ``read_head``.
 
         ``patience_s`` limits the time without data, before the head and between two parts of the
@@ -140,10 +140,10 @@
         """
         head = await self.read_head(patience_s)
         clock = asyncio.get_running_loop().time
-        deadline_s = clock() + self._call.left_s()
+        deadline_s = clock() + self._call.remaining_s()
         parts = []
         try:
-            async with Patience(min(patience_s, self._call.left_s())) as time_limit:
+            async with ReadFirstTimeout(min(patience_s, self._call.remaining_s())) as time_limit:
                 async for part in self._connection.body_parts(MAX_BUFFERED_RESPONSE_BYTES):
                     parts.append(part)
                     time_limit.reschedule(min(clock() + patience_s, deadline_s))
@@ -152,7 +152,7 @@
                 f"{self.backend.name}: response incomplete at the time limit"
             ) from None
         self.finish(is_failure=head.status >= SERVER_ERROR)
-        return WholeAnswer(head, b"".join(parts))
+        return BufferedAnswer(head, b"".join(parts))
 
     def body_parts(self) -> AsyncIterator[bytes]:
         """Return the parts of the body as they arrive."""
@@ -162,9 +162,9 @@
         """Record that the response was read completely."""
         self.is_whole = True
         now_s = boot_time_s()
-        self.backend.health.note_answer(now_s, now_s - self._sent_s, is_failure)
+        self.backend.health.record_answer(now_s, now_s - self._sent_s, is_failure)
         if self._poison.is_known() and not is_failure and not self._is_prefill:
-            self._poison.note_sound(self._call.digest)
+            self._poison.record_harmless(self._call.digest)
 
     def record_closed(self) -> None:
         """Record that the backend closed the connection during the request.
@@ -173,7 +173,7 @@
         """
         if self.is_sent and not self.backend.is_ending:
             since_sent_s = boot_time_s() - self._sent_s
-            self._poison.note_end(self._call.digest, self.backend.life, since_sent_s)
+            self._poison.record_crash(self._call.digest, self.backend.life, since_sent_s)
 
     def _check_origin(self, head: AnswerHead, notes: AnswerNotes) -> None:
         """Raise unless the response names a request and a successful one carries a signature."""
@@ -193,7 +193,7 @@
         sent_s, sent_ms = -math.inf, opened_ms
         if is_ours:
             sent_s, sent_ms = self._sent_s, self._connection.sent_ms
-        self.backend.take_notices(notes, boot_time_s(), opened_ms, sent_s, sent_ms)
+        self.backend.apply_notices(notes, boot_time_s(), opened_ms, sent_s, sent_ms)
         return is_ours
 
 
@@ -235,13 +235,13 @@
             )
         if self._poison.is_known():
             self._poison.require_not_quarantined(call.digest)
-        backend.require_willing(boot_time_s())
+        backend.require_accepting(boot_time_s())
         if backend.outstanding >= self._shares.most(call.service):
-            raise BackendUnwilling(f"all connections to {backend.name} are in use")
+            raise BackendNotAccepting(f"all connections to {backend.name} are in use")
         if not has_permit:
             backend.take_permit(boot_time_s())
         rest_s = LONGEST_REST_S if call.route.may_repeat else MAX_IDLE_NOT_REPEATABLE_S
-        timeout_s = min(CONNECT_TIMEOUT_S, call.left_s())
+        timeout_s = min(CONNECT_TIMEOUT_S, call.remaining_s())
         with call.visit(backend.name, backend.entry.zone, backend.entry.role) as visit:
             async with self._exchange(backend, call, timeout_s, rest_s) as exchange:
                 yield exchange
@@ -255,9 +255,9 @@
         address = backend.entry.address
         backend.outstanding += 1
         try:
-            connection = await self.pool.take(address, timeout_s, rest_s, call.heard_after_s)
+            connection = await self.pool.take(address, timeout_s, rest_s, call.min_last_receive_s)
         except BackendUnreachable:
-            backend.health.note_silence(boot_time_s())
+            backend.health.record_silence(boot_time_s())
             self.pool.forget(address)
             raise
         finally:
@@ -272,9 +272,9 @@
             yield exchange
         except BackendRefused:
             now_s = boot_time_s()
-            if not backend.notices.is_resting(now_s):
+            if not backend.notices.is_backing_off(now_s):
                 # A backend that asked for back-off has stated itself how long to avoid it.
-                backend.health.note_answer(now_s, 0.0, is_failure=True)
+                backend.health.record_answer(now_s, 0.0, is_failure=True)
             raise
         except BackendBroken as error:
             _log.info(
@@ -288,7 +288,7 @@
                 exchange.record_closed()
             if isinstance(error, BackendSilent):
                 self._drop_silent_connections(connection, call)
-            backend.health.note_broken(boot_time_s())
+            backend.health.record_broken(boot_time_s())
             raise
         finally:
             exchange.close()
@@ -306,6 +306,6 @@
         A connection on which data arrived in the second half of the silent period was still working
         during it, and is kept.
         """
-        heard_after_s = (connection.awaited_since_s() + boot_time_s()) / 2
-        call.heard_after_s = max(call.heard_after_s, heard_after_s)
-        self.pool.drop_quiet(connection.address, heard_after_s)
+        min_last_receive_s = (connection.awaited_since_s() + boot_time_s()) / 2
+        call.min_last_receive_s = max(call.min_last_receive_s, min_last_receive_s)
+        self.pool.drop_silent(connection.address, min_last_receive_s)
--- a/src/yokedock/request/backend_talk.py
+++ b/src/yokedock/request/backend_gossip.py
@@ -17,7 +17,7 @@
 PERCENT = 100
 
 
-class BackendTalk:
+class BackendGossip:
     """Provides and applies the gossip about the backends of one router."""
 
     def __init__(self, registry: BackendRegistry) -> None:
@@ -29,12 +29,12 @@
         now_s = self._registry.now_s()
         oldest_s = now_s - BROKEN_GOSSIP_S
         return {
-            backend.name: round(PERCENT * backend.health.local_failure_share(now_s))
+            backend.name: round(PERCENT * backend.health.local_failure_rate(now_s))
             for backend in self._registry.lives()
             if backend.health.last_broken_s >= oldest_s
         }
 
-    def heard_broken(self, broken: dict[str, int], told_s: float | None = None) -> None:
+    def apply_remote_broken(self, broken: dict[str, int], told_s: float | None = None) -> None:
         """Apply another router's report on backends that cut off responses."""
         told_s = self._registry.now_s() if told_s is None else told_s
         for name, percent in broken.items():
@@ -42,14 +42,14 @@
             if backend is not None:
                 backend.health.note_told(percent / PERCENT, told_s)
 
-    def said_leaving(self) -> tuple[str, ...]:
+    def recently_leaving(self) -> tuple[str, ...]:
         """Return the backends that recently announced to this router that they are leaving."""
         oldest_s = self._registry.now_s() - LEAVING_GOSSIP_S
         return tuple(
             b.name for b in self._registry.lives() if b.notices.observed_leaving_s >= oldest_s
         )
 
-    def heard_leaving(self, names: tuple[str, ...], told_s: float | None = None) -> None:
+    def apply_remote_leaving(self, names: tuple[str, ...], told_s: float | None = None) -> None:
         """Apply another router's report on backends that are leaving."""
         told_s = self._registry.now_s() if told_s is None else told_s
         for name in names:
@@ -63,7 +63,7 @@
         shares = ((b.name, b.limit.share(now_s)) for b in self._registry.lives())
         return {name: share for name, share in shares if share is not None}
 
-    def heard_limits(
+    def apply_remote_limits(
         self, router: str, told: dict[str, LimitShare], told_s: float | None = None
     ) -> None:
         """Apply another router's state of rate limits."""
@@ -74,7 +74,7 @@
             if backend is not None and not backend.has_ended:
                 backend.limit.heard(router, share, now_s, told_s)
 
-    def forget_limits(self, router: str) -> None:
+    def drop_waiting_of(self, router: str) -> None:
         """Drop the waiting requests of a router that is no longer heard from."""
         for backend in self._registry.lives():
             if backend.limit.rate is not None:
--- a/src/yokedock/request/backend_life.py
+++ b/src/yokedock/request/backend_incarnation.py
@@ -16,8 +16,8 @@
 from yokedock.connection.state_source import BackendEntry
 from yokedock.request.backend_limits import BackendLimits
 from yokedock.request.backend_notices import BackendNotices
-from yokedock.request.poison_requests import life_number
-from yokedock.router_errors import BackendUnwilling
+from yokedock.request.poison_requests import incarnation_number
+from yokedock.router_errors import BackendNotAccepting
 
 MIN_STABLE_UPTIME_S = 30.0
 """An incarnation that is replaced after less than this time counts as one step of a crash loop."""
@@ -59,12 +59,12 @@
     """Highest failure rate reported by another router, at ``told_s``."""
     told_s: float = 0.0
 
-    def failure_share(self, now_s: float) -> float:
+    def failure_rate(self, now_s: float) -> float:
         """Return the higher of the local failure rate and that of other routers, after decay."""
-        own = self.local_failure_share(now_s)
+        own = self.local_failure_rate(now_s)
         return max(own, _decayed(self.told, now_s - self.told_s)) if self.told else own
 
-    def local_failure_share(self, now_s: float) -> float:
+    def local_failure_rate(self, now_s: float) -> float:
         """Return the failure rate that this process observed, decayed since the last response."""
         return _decayed(self.failures, now_s - self.noted_s) if self.failures else 0.0
 
@@ -79,9 +79,9 @@
         """Return whether the backend was unresponsive recently."""
         return now_s < self.suspect_until_s
 
-    def note_answer(self, now_s: float, latency_s: float, is_failure: bool) -> None:
+    def record_answer(self, now_s: float, latency_s: float, is_failure: bool) -> None:
         """Record a response; the latency of a failure is ignored, as it doesn't indicate speed."""
-        share = self.local_failure_share(now_s)
+        share = self.local_failure_rate(now_s)
         self.failures = share + FAILURE_EWMA_WEIGHT * (float(is_failure) - share)
         if not is_failure:
             before = self.latency_s if self.latency_s is not None else latency_s
@@ -91,9 +91,9 @@
             self.told *= 1.0 - FAILURE_EWMA_WEIGHT
         self.noted_s = now_s
 
-    def note_broken(self, now_s: float) -> None:
+    def record_broken(self, now_s: float) -> None:
         """Record a response that was cut off or invalid; this is reported to the other routers."""
-        self.note_answer(now_s, 0.0, is_failure=True)
+        self.record_answer(now_s, 0.0, is_failure=True)
         self.last_broken_s = now_s
 
     def note_told(self, share: float, now_s: float) -> None:
@@ -101,12 +101,12 @@
         if share > _decayed(self.told, now_s - self.told_s):
             self.told, self.told_s = share, now_s
 
-    def note_silence(self, now_s: float) -> None:
+    def record_silence(self, now_s: float) -> None:
         """Record that the backend was unreachable or unresponsive; the other routers are told."""
         if not self.is_suspect(now_s):
             self.suspect_until_s = now_s + self.next_suspicion_s
             self.next_suspicion_s = min(2 * self.next_suspicion_s, MAX_SUSPICION_S)
-        share = self.local_failure_share(now_s)
+        share = self.local_failure_rate(now_s)
         self.failures = share + FAILURE_EWMA_WEIGHT * (1.0 - share)
         self.noted_s = now_s
         self.last_broken_s = now_s
@@ -120,7 +120,7 @@
         self.entry = entry
         self.name = incarnation_name(entry)
         """Identifies this incarnation on every router. Orders carry ``entry.instance`` instead."""
-        self.life = life_number(self.name)
+        self.life = incarnation_number(self.name)
         """Short numeric form of ``name`` for datagrams."""
         self.health = Health()
         self.notices = BackendNotices()
@@ -150,7 +150,7 @@
         """Return whether the list or a response says that the backend is leaving."""
         return self.entry.is_leaving or self.notices.leaving_since_s is not None
 
-    def take_notices(
+    def apply_notices(
         self,
         notes: AnswerNotes,
         now_s: float,
@@ -169,7 +169,7 @@
         self._update_leaving_since()
         if not notes.is_elsewhere and not notes.is_limit_odd:
             self._limit_connection_opened_ms = opened_ms
-            self.limit.note_answer(notes.limit_per_s, sent_s, now_s)
+            self.limit.record_answer(notes.limit_per_s, sent_s, now_s)
         if self._next_incarnation is not None and not notes.is_elsewhere:
             self._next_incarnation.apply_late_notices(notes, now_s, opened_ms, sent_s, sent_ms)
 
@@ -188,7 +188,7 @@
             return
         if sent_ms < born_ms + MAX_CLOCK_SKEW_MS:
             notes = msgspec.structs.replace(notes, is_leaving=False)
-        self.take_notices(notes, now_s, opened_ms, sent_s, sent_ms)
+        self.apply_notices(notes, now_s, opened_ms, sent_s, sent_ms)
 
     def record_remote_leaving(self, now_s: float) -> None:
         """Record that another router received a response which says that the backend is leaving."""
@@ -229,7 +229,7 @@
             if connection.opened_ms < next_born_ms - MAX_CLOCK_SKEW_MS:
                 connection.abort()
 
-    def succeed(self, before: Backend) -> None:
+    def take_over_from(self, before: Backend) -> None:
         """Initialise this incarnation from the previous one.
 
         Takes over what this incarnation said in responses that were attributed to the previous one,
@@ -241,7 +241,7 @@
         if before._limit_connection_opened_ms >= self.entry.born_ms - MAX_CLOCK_SKEW_MS:
             # Stated by this incarnation itself, or by the previous one just before its end. The
             # next response shows whether it still applies.
-            self.limit.note_answer(before.limit.per_s, self.known_s, self.known_s)
+            self.limit.record_answer(before.limit.per_s, self.known_s, self.known_s)
         if self.known_s - before.known_s < MIN_STABLE_UPTIME_S:
             self.restarts = min(before.restarts + 1, MAX_COUNTED_RESTARTS)
             self.health.failures = 1.0 - 0.5**self.restarts
@@ -258,21 +258,21 @@
         return max(self.limit.wait_s(now_s), self.notices.backoff_until_s - now_s, 0.0)
 
     def take_permit(self, now_s: float) -> None:
-        """Take a permit for a request; raises ``BackendUnwilling`` if there is none."""
+        """Take a permit for a request; raises ``BackendNotAccepting`` if there is none."""
         if self.limit.wait_s(now_s) > 0:
-            raise BackendUnwilling(f"{self.name} is at its rate limit")
+            raise BackendNotAccepting(f"{self.name} is at its rate limit")
         self.limit.take(now_s)
 
-    def require_willing(self, now_s: float) -> None:
-        """Raise ``BackendUnwilling`` if nothing may be sent now.
+    def require_accepting(self, now_s: float) -> None:
+        """Raise ``BackendNotAccepting`` if nothing may be sent now.
 
         The state may have changed since the backend was selected, while a prompt was processed or
         while the request was queued.
         """
-        if self.notices.is_resting(now_s):
-            raise BackendUnwilling(f"{self.name} has asked for back-off")
+        if self.notices.is_backing_off(now_s):
+            raise BackendNotAccepting(f"{self.name} has asked for back-off")
         if not self.may_take_as_last_resort(now_s):
-            raise BackendUnwilling(f"{self.name} is leaving")
+            raise BackendNotAccepting(f"{self.name} is leaving")
 
     def may_take_as_last_resort(self, now_s: float) -> bool:
         """Return whether the backend stays, or has been leaving for less than its grace period."""
--- a/src/yokedock/request/backend_limits.py
+++ b/src/yokedock/request/backend_limits.py
@@ -13,11 +13,11 @@
 
 from yokedock.base.logs import logger
 from yokedock.connection.router_state import LimitShare
-from yokedock.request.shared_rate import LEAST_PER_S, SharedRate
+from yokedock.request.shared_rate import MIN_RATE_PER_S, SharedRate
 
 _log = logger("limits")
 
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 
 
 class WaitingRequests(msgspec.Struct, frozen=True):
@@ -46,17 +46,17 @@
         """Return the requests per second that the backend accepts, None without a limit."""
         return self.rate.per_s if self.rate is not None else None
 
-    def note_answer(self, limit_per_s: float | None, sent_s: float, now_s: float) -> None:
+    def record_answer(self, limit_per_s: float | None, sent_s: float, now_s: float) -> None:
         """Apply the limit stated in a response; its request was sent at ``sent_s``."""
         if limit_per_s is None and self.rate is None:
             return
-        if self._known(now_s).note_answer(limit_per_s, sent_s, now_s):
+        if self._known(now_s).record_answer(limit_per_s, sent_s, now_s):
             self._log_change("answer")
             self._limits.on_change()
 
     def heard(self, router: str, told: LimitShare, now_s: float, told_s: float) -> None:
         """Apply a report that another router sent at ``told_s`` (boot time)."""
-        is_stale = told_s - told.age_ms / MS_A_SECOND <= self._ended_s
+        is_stale = told_s - told.age_ms / MS_PER_SECOND <= self._ended_s
         if self.rate is None and (told.per_s < 0 or is_stale):
             return
         if self._known(now_s).heard(router, told, now_s, told_s):
@@ -125,7 +125,7 @@
         """Return the requests queued here for the backends of a service."""
         return self._waiting.get(service, NO_WAITING_REQUESTS)
 
-    def note_waiting(self, service: str, count: int, since_s: float) -> None:
+    def record_waiting(self, service: str, count: int, since_s: float) -> None:
         """Record how many requests wait here, and since when (boot time) the oldest does."""
         if count:
             self._waiting[service] = WaitingRequests(count, since_s)
@@ -141,4 +141,4 @@
     granted = [limit.per_s for limit in limits]
     if not granted or None in granted:
         return None
-    return sum(max(per_s, LEAST_PER_S) for per_s in granted if per_s is not None)
+    return sum(max(per_s, MIN_RATE_PER_S) for per_s in granted if per_s is not None)
--- a/src/yokedock/request/backend_list.py
+++ b/src/yokedock/request/backend_list.py
@@ -13,21 +13,21 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.connection.state_source import BackendEntry
-from yokedock.request.backend_life import Backend, incarnation_name
+from yokedock.request.backend_incarnation import Backend, incarnation_name
 from yokedock.request.backend_limits import BackendLimits
-from yokedock.request.backend_notices import SAID_KEPT_S
+from yokedock.request.backend_notices import NOTICE_RETENTION_S
 from yokedock.request.list_restoration import NOTHING_APPLIED, AppliedHistory, ListRestoration
 
 _log = logger("backends")
 
-GONE_KEPT_S = 10.0
+BACKEND_RETENTION_S = 10.0
 """Retention time for the health data of a backend after it left: it may come back."""
 
 
 class BackendList:
     """Backends by incarnation name. ``on_change`` is called after every change of the list.
 
-    ``on_new_life`` is called with the previous incarnation when a backend has restarted.
+    ``on_restart`` is called with the previous incarnation when a backend has restarted.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         """Backends by service and role, and by service alone; None after a change of the list."""
         self._restoration = ListRestoration()
         self.on_change: Callable[[], None] = lambda: None
-        self.on_new_life: Callable[[Backend], None] = lambda backend: None
+        self.on_restart: Callable[[Backend], None] = lambda backend: None
 
     def replace_all(self, entries: dict[str, BackendEntry]) -> None:
         """Replace the whole list: backends that are not in ``entries`` are gone.
@@ -97,14 +97,14 @@
             _log.info("restored list reconciled", gone=expired, back=names)
             self._remove(expired, now_s)
 
-    def drop_gone(self) -> None:
+    def drop_expired_backends(self) -> None:
         """Drop idle backends that left long ago, and limits that have ended."""
         self.apply_restoration_timeouts()
         now_s = self._clock()
         for name, backend in list(self._backends.items()):
             backend.limit.discard_if_ended(now_s)
-            has_active_notices = not backend.has_ended and backend.notices.matter(now_s)
-            oldest_s = now_s - (SAID_KEPT_S if has_active_notices else GONE_KEPT_S)
+            has_active_notices = not backend.has_ended and backend.notices.has_active_notices(now_s)
+            oldest_s = now_s - (NOTICE_RETENTION_S if has_active_notices else BACKEND_RETENTION_S)
             since_s = backend.unlisted_since_s
             is_expired = not backend.is_listed and since_s is not None and since_s < oldest_s
             if is_expired and not backend.outstanding:
@@ -208,7 +208,7 @@
         backend = Backend(entry, now_s, self.limits)
         self._backends[backend.name] = self._newest[entry.instance] = backend
         if before is not None:
-            backend.succeed(before)
+            backend.take_over_from(before)
             before.is_listed = False
             before.record_gone(now_s)
             before.end(entry.born_ms)
@@ -218,5 +218,5 @@
                 lived_s=round(now_s - before.known_s, 1),
                 restarts=backend.restarts,
             )
-            self.on_new_life(before)
+            self.on_restart(before)
         return backend
--- a/src/yokedock/request/backend_notices.py
+++ b/src/yokedock/request/backend_notices.py
@@ -24,7 +24,7 @@
 """How long routers send each other a leaving notice after they received it: in at least two
 datagrams, one of which may be lost. Routers that know of it start no stream that the backend's end
 would cut off."""
-SAID_KEPT_S = 60.0
+NOTICE_RETENTION_S = 60.0
 """Retention time for notices after the entry of the backend has gone: an entry that expired
 together with the list may reappear while the backend is still shutting down, many seconds later. If
 two backends that announced their end are replaced each second, this adds 120 entries to scan."""
@@ -66,7 +66,7 @@
         if self.leaving_since_s is None:
             self.leaving_since_s = now_s
 
-    def is_resting(self, now_s: float) -> bool:
+    def is_backing_off(self, now_s: float) -> bool:
         """Return whether the backend has asked for back-off that is not over."""
         return now_s < self.backoff_until_s
 
@@ -100,6 +100,6 @@
             said.leaving_request_sent_ms = self.leaving_request_sent_ms
         return said
 
-    def matter(self, now_s: float) -> bool:
+    def has_active_notices(self, now_s: float) -> bool:
         """Return whether any notice would still apply if the entry of the backend reappeared."""
-        return self.leaving_since_s is not None or self.is_resting(now_s)
+        return self.leaving_since_s is not None or self.is_backing_off(now_s)
--- a/src/yokedock/request/backend_registry.py
+++ b/src/yokedock/request/backend_registry.py
@@ -11,7 +11,7 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.randomness import new_random
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_limits import BackendLimits, granted_per_s
 from yokedock.request.backend_list import BackendList
 from yokedock.request.service_supply import ServiceSupply
@@ -60,13 +60,13 @@
         """Return whether an engine is changing its role."""
         return name in self._all_changing
 
-    def note_waiting(self, service: str, count: int, since_s: float) -> None:
+    def record_waiting(self, service: str, count: int, since_s: float) -> None:
         """Record how many requests wait here for the backends of a service.
 
         ``since_s`` is the boot time since which the oldest waits. The other routers are informed if
         a backend has a rate limit, because permits are taken in order of waiting time.
         """
-        self.limits.note_waiting(service, count, since_s)
+        self.limits.record_waiting(service, count, since_s)
         if any(backend.limit.rate is not None for backend in self.members(service, None)):
             self.limits.on_change()
 
@@ -86,7 +86,7 @@
         notices = [backend.notices for backend in self._backends.values()]
         return {
             "backends_said_leaving": sum(n.leaving_since_s is not None for n in notices),
-            "backends_resting": sum(n.is_resting(now_s) for n in notices),
+            "backends_resting": sum(n.is_backing_off(now_s) for n in notices),
             "backends_limited": sum(b.limit.per_s is not None for b in self._backends.values()),
         }
 
@@ -105,7 +105,7 @@
         """Return the backends of a service that may be used now or after their back-off."""
         return _healthiest(self.members(service, None), self._clock())
 
-    def rest_left_s(self, service: str, role: str | None = None) -> float:
+    def unavailable_for_s(self, service: str, role: str | None = None) -> float:
         """Return the seconds until a backend is usable, if all are in back-off or have no permit.
 
         Returns 0 if one is usable now, or if there is none.
@@ -118,7 +118,7 @@
 
     def freed_per_s(self, service: str) -> float:
         """Return how many connections become free per second if all are in use, else 0."""
-        if self.usable(service) or self.rest_left_s(service):
+        if self.usable(service) or self.unavailable_for_s(service):
             return 0.0
         now_s = self._clock()
         staying = [b for b in self.members(service, None) if b.leaving_since_s is None]
@@ -128,7 +128,7 @@
     def supply(self, service: str) -> ServiceSupply:
         """Return when and at what rate the backends of a service accept requests again."""
         return ServiceSupply(
-            self.rest_left_s(service), self.granted_per_s(service), self.freed_per_s(service)
+            self.unavailable_for_s(service), self.granted_per_s(service), self.freed_per_s(service)
         )
 
     def next_permit_s(self, service: str, role: str | None = None) -> float | None:
@@ -165,7 +165,7 @@
         rounds = max(1.0, (queued + 1) / max(1, backend.entry.slots))
         contention = 1.0 + 0.3 * queued / max(1, backend.entry.slots)
         cost = health.expected_latency_s(now_s, typical_s) * rounds * contention
-        cost *= 1.0 + FAILURE_COST_FACTOR * health.failure_share(now_s)
+        cost *= 1.0 + FAILURE_COST_FACTOR * health.failure_rate(now_s)
         if backend.entry.zone != self._zone:
             cost *= REMOTE_ZONE_COST_FACTOR
         return cost * (1.0 + self._random.random() * COST_JITTER)
--- a/src/yokedock/request/cache_lookup.py
+++ b/src/yokedock/request/cache_lookup.py
@@ -15,7 +15,7 @@
 from yokedock.connection.dialect import Dialect, PromptPart
 from yokedock.connection.short_call import CallLimits, short_call
 from yokedock.errors import EngineRejected
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.routed_call import RoutedCall
 from yokedock.router_errors import BackendBroken, BackendUnreachable
@@ -106,7 +106,7 @@
             answer = await short_call(self._pool, engine.entry.address, question, ANSWER_LIMITS)
             notes = self._dialect.answer_notes(answer.head)
             now_s = boot_time_s()
-            engine.take_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
+            engine.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             if answer.status == OK:
                 return self._dialect.cached_parts(answer.body)
         except (BackendUnreachable, BackendBroken, EngineRejected) as error:
--- a/src/yokedock/request/call_attempt.py
+++ b/src/yokedock/request/call_attempt.py
@@ -11,15 +11,15 @@
 from yokedock.base.logs import logger
 from yokedock.connection.dialect import BackendOrder
 from yokedock.request.backend_exchange import BackendExchange, BackendExchanges
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.retry_allowance import RequestRetries, RetryAllowance
-from yokedock.request.routed_call import RoutedCall, WholeAnswer
-from yokedock.router_errors import BackendSilent, BackendUnreachable, BackendUnwilling
+from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.router_errors import BackendNotAccepting, BackendSilent, BackendUnreachable
 
 _log = logger("call")
 
-LEAST_USEFUL_S = 0.03
+MIN_ATTEMPT_TIME_S = 0.03
 """A retry is not started with less time left than this, since it could not finish."""
 
 
@@ -62,15 +62,15 @@
         chosen: ChosenBackend,
         attempts: CallAttempts,
         retries: RequestRetries,
-    ) -> WholeAnswer:
+    ) -> BufferedAnswer:
         """Send the call to the chosen backend once and return the complete response."""
         backend = chosen.backend
         async with self._exchanges.open(backend, call, chosen.has_permit) as exchange:
             if call.arrivals:
-                retries.note_arrival()
+                retries.record_arrival()
             call.arrivals += 1
             order = BackendOrder(backend.entry.instance, call.backend_deadline_ms())
-            with call.one_run():
+            with call.track_run():
                 await exchange.send(order)
                 answer = await self._read(exchange, call, attempts, retries)
         return answer
@@ -81,7 +81,7 @@
         call: RoutedCall,
         attempts: CallAttempts,
         retries: RequestRetries,
-    ) -> WholeAnswer:
+    ) -> BufferedAnswer:
         """Read the response, and abandon the attempt on a time-out if a retry has been reserved.
 
         If no other backend is available, waits for this one until the deadline. A backend that
@@ -89,14 +89,14 @@
         """
         backend = exchange.backend
         patience_s = self._idle_timeout_s(call, backend)
-        exchange.suspect_after(self._registry.patience_s(backend))
+        exchange.start_silence_timer(self._registry.patience_s(backend))
         while True:
             try:
                 return await exchange.read_whole(patience_s)
             except BackendSilent:
                 if patience_s >= self._registry.patience_s(backend):
-                    backend.health.note_silence(boot_time_s())
-                if not exchange.is_open or call.left_s() <= 0:
+                    backend.health.record_silence(boot_time_s())
+                if not exchange.is_open or call.remaining_s() <= 0:
                     raise
                 reserved = attempts.reserved
                 if reserved is not None and self._is_available(call, reserved.backend):
@@ -104,10 +104,10 @@
                 # Charge the retry before abandoning this attempt: others may use up the budget.
                 other = await self._find_reachable_backend(call, backend, attempts)
                 attempts.reserved = None
-                if other is not None and retries.may_go_on(call, LEAST_USEFUL_S):
+                if other is not None and retries.reserve_retry(call, MIN_ATTEMPT_TIME_S):
                     attempts.reserved = ChosenBackend(other, other.limit.take(boot_time_s()))
                 # Read what arrived while the other backend was being connected to.
-                patience_s = call.left_s() if attempts.reserved is None else 0.0
+                patience_s = call.remaining_s() if attempts.reserved is None else 0.0
 
     def _is_available(self, call: RoutedCall, backend: Backend) -> bool:
         """Return whether the call can still be sent to a reserved backend.
@@ -119,8 +119,8 @@
         if backend.has_ended or backend.outstanding >= share:
             return False
         try:
-            backend.require_willing(boot_time_s())
-        except BackendUnwilling:
+            backend.require_accepting(boot_time_s())
+        except BackendNotAccepting:
             return False
         return True
 
@@ -160,7 +160,7 @@
 
     def _idle_timeout_s(self, call: RoutedCall, backend: Backend) -> float:
         """Return the silence after which to retry; the time left if no retry is possible."""
-        left_s = call.left_s()
+        remaining_s = call.remaining_s()
         if self._can_retry_elsewhere(call, backend):
-            return min(left_s, self._registry.patience_s(backend))
-        return left_s
+            return min(remaining_s, self._registry.patience_s(backend))
+        return remaining_s
--- a/src/yokedock/request/call_queue.py
+++ b/src/yokedock/request/call_queue.py
@@ -44,7 +44,7 @@
         """Return whether other routers know of the call, so that it can no longer fall back."""
         return boot_time_s() >= self.since_s + TIE_WINDOW_S
 
-    def ahead_elsewhere(self, waiting: int) -> float:
+    def remote_ahead(self, waiting: int) -> float:
         """Return how many of the ``waiting`` calls at other routers count as ahead of this one.
 
         Calls that arrive there later are behind it.
--- a/src/yokedock/request/room_forecast.py
+++ b/src/yokedock/request/capacity_forecast.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from yokedock.request.stream_turnover import StreamTurnover
+from yokedock.request.stream_duration import StreamDuration
 
 MIN_LATE_SHARE = 0.1
 """Minimum share of the freed capacity assumed to go to late waiters, as no overload is known to
@@ -42,10 +42,10 @@
     """Whether it is placed after all on-time generations."""
 
 
-class RoomForecast:
+class CapacityForecast:
     """The forecast of one process, corrected by the waits actually observed."""
 
-    def __init__(self, turnover: StreamTurnover) -> None:
+    def __init__(self, turnover: StreamDuration) -> None:
         """``turnover`` supplies the mean duration of a stream."""
         self._turnover = turnover
         self._log_errors = {False: 0.0, True: 0.0}
@@ -56,7 +56,7 @@
         freed_per_s = max(1, ahead.streams) / self._turnover.mean_s
         unclaimed_per_s = freed_per_s - ahead.arrivals_per_s
         rate = max(unclaimed_per_s, MIN_LATE_SHARE * freed_per_s)
-        return (ahead.in_time + ahead.late + 1.0) / rate * self.error_factor(ahead.is_late)
+        return (ahead.in_time + ahead.late + 1.0) / rate * self.correction_factor(ahead.is_late)
 
     def note(self, predicted_s: float, waited_s: float, is_late: bool = False) -> None:
         """Learn from a wait that ended, or that lasted at least ``waited_s``."""
@@ -67,6 +67,6 @@
         error = max(-MAX_LOG_ERROR, min(MAX_LOG_ERROR, error))
         self._log_errors[is_late] = before + ERROR_WEIGHT * (error - before)
 
-    def error_factor(self, is_late: bool = False) -> float:
+    def correction_factor(self, is_late: bool = False) -> float:
         """Return the factor by which raw predictions are currently multiplied."""
         return math.exp(self._log_errors[is_late])
--- a/src/yokedock/request/context.py
+++ b/src/yokedock/request/context.py
@@ -7,7 +7,7 @@
 from concurrent.futures import Future
 from typing import Any
 
-from yokedock.base.clock import left_ms, left_s
+from yokedock.base.clock import remaining_ms, remaining_s
 from yokedock.connection.peer_types import settle
 from yokedock.errors import DeadlineExceeded, PeerTimeout, YokedockError
 from yokedock.version.bundle import RequestClass
@@ -54,9 +54,9 @@
         self.attempts += 1
         return f"{self.request_id}.{self.attempts}"
 
-    def left_ms(self) -> int:
+    def remaining_ms(self) -> int:
         """Return the time left until the deadline, in milliseconds."""
-        return left_ms(self.deadline_s)
+        return remaining_ms(self.deadline_s)
 
     def cancel(self, error: YokedockError) -> None:
         """End the request with ``error``; later calls have no effect."""
@@ -72,7 +72,7 @@
         """Raise if the request was cancelled or its deadline has passed."""
         if self.ended is not None:
             raise self.ended
-        if left_s(self.deadline_s) <= 0:
+        if remaining_s(self.deadline_s) <= 0:
             raise DeadlineExceeded("the deadline passed; allow more time or retry later")
 
     def wait(self, future: Future[Any], timeout_s: float) -> Any:
@@ -86,7 +86,7 @@
                 raise self.ended
             self._pending_future = future
         try:
-            return future.result(min(timeout_s, left_s(self.deadline_s)))
+            return future.result(min(timeout_s, remaining_s(self.deadline_s)))
         except TimeoutError:
             settle(future, error=PeerTimeout("the wait for this reply timed out"))
             self.check()
--- a/src/yokedock/request/dispatch_timers.py
+++ b/src/yokedock/request/dispatch_timers.py
@@ -28,7 +28,7 @@
         self._is_recheck_due = False
         self._due_s = math.inf
 
-    def soon(self) -> None:
+    def dispatch_soon(self) -> None:
         """Dispatch after a short delay that collects further notifications."""
         if not self._is_soon_due and self._is_waiting():
             self._is_soon_due = True
--- a/src/yokedock/request/engine_backend.py
+++ b/src/yokedock/request/engine_backend.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from yokedock.base.clock import boot_time_s, deadline_in, left_s
+from yokedock.base.clock import boot_time_s, deadline_in, remaining_s
 from yokedock.base.logs import logger
 from yokedock.connection.engine_client import EngineDialect
 from yokedock.connection.engine_protocol import (
@@ -30,8 +30,8 @@
     EngineRejected,
     EngineUnavailable,
     NoBackend,
-    NoDecodeRoom,
-    NoPrefillRoom,
+    NoDecodeCapacity,
+    NoPrefillCapacity,
     YokedockError,
 )
 from yokedock.messages import (
@@ -49,12 +49,12 @@
     StreamTokens,
     TransferDone,
 )
+from yokedock.request.attempt_canceller import AttemptCanceller
 from yokedock.request.backend import Backend, OrderGuard, SendFrame
 from yokedock.request.engine_attempt import EngineAttempt, EngineSetup, TransferFunction
-from yokedock.request.known_blocks import BlockChanges, KnownBlocks
 from yokedock.request.prefill_queue import PrefillQueue
 from yokedock.request.prefix import block_hashes, estimate_tokens
-from yokedock.request.releaser import Releaser
+from yokedock.request.prefix_cache_index import BlockChanges, PrefixCacheIndex
 from yokedock.request.slots import SlotEntry, SlotTable
 from yokedock.request.transfer_credit import TransferCredit
 from yokedock.version.bundle import ROLE_DECODE, ROLE_PREFILL
@@ -98,11 +98,11 @@
         self.kv_bytes_per_token = 0
         self._is_leaving = False
         self.slots = SlotTable(setup.slots, step_ms)
-        self.known_blocks = KnownBlocks()
-        self.prefills = PrefillQueue(prefill_tokens_per_s, self.known_blocks)
+        self.prefix_cache_index = PrefixCacheIndex()
+        self.prefills = PrefillQueue(prefill_tokens_per_s, self.prefix_cache_index)
         self.credit = TransferCredit(setup.link_bytes_per_s, setup.max_transfers)
-        self._releaser = Releaser(engine, self._cancel_confirmed)
-        self._releaser.start()
+        self._attempt_canceller = AttemptCanceller(engine, self._cancel_confirmed)
+        self._attempt_canceller.start()
 
     # --- Backend ---
 
@@ -140,7 +140,7 @@
         self.credit.give_back(attempt)
         self.prefills.cancel(attempt)
         if must_cancel:
-            self._releaser.submit(attempt)
+            self._attempt_canceller.submit(attempt)
         else:
             self._forget(attempt)
 
@@ -163,7 +163,7 @@
 
     def block_changes(self, after: int) -> BlockChanges:
         """Return the prompt blocks added to and evicted from the engine's cache after a change."""
-        return self.known_blocks.changes_after(after, MAX_BLOCKS_PER_REPORT)
+        return self.prefix_cache_index.changes_after(after, MAX_BLOCKS_PER_REPORT)
 
     def in_flight(self) -> int:
         """Return the number of open attempts, including those awaiting cancellation."""
@@ -176,7 +176,7 @@
     # --- Commands ---
 
     def _reserve(self, order: Reserve) -> Reserved:
-        self._check_available(ROLE_DECODE, NoDecodeRoom)
+        self._check_available(ROLE_DECODE, NoDecodeCapacity)
         now = boot_time_s()
         entry = SlotEntry(
             order.attempt,
@@ -192,9 +192,9 @@
         return Reserved(max(0, int((free_at_s - now) * 1000)), self.load())
 
     def _prefill(self, order: Prefill, guard: OrderGuard) -> Prefilled:
-        self._check_available(ROLE_PREFILL, NoPrefillRoom)
+        self._check_available(ROLE_PREFILL, NoPrefillCapacity)
         if self.credit.backlog_s() > self._setup.handle_ttl_s / 2:
-            raise NoPrefillRoom(
+            raise NoPrefillCapacity(
                 "the transfer backlog is too long to send a prefill result in time; retry later",
                 0.5,
             )
@@ -207,7 +207,7 @@
             result = self._ordered(order.attempt, guard, lambda: self._order_prefill(order))
         finally:
             self.prefills.leave(order.attempt)
-        self.known_blocks.learn(block_hashes(order.prompt))
+        self.prefix_cache_index.learn(block_hashes(order.prompt))
         return msgspec.structs.replace(result, load=self.load())
 
     def _prefill_deadline_s(self, order: Prefill, service_s: float) -> float:
@@ -245,7 +245,7 @@
     def _decode(self, order: Decode, guard: OrderGuard, send: SendFrame) -> Done:
         self.slots.start(order.attempt)
         deadline_s = deadline_in(order.deadline_ms)
-        give_back = self._acquire_transfer(order, left_s(deadline_s))
+        give_back = self._acquire_transfer(order, remaining_s(deadline_s))
         imported = False
         try:
             import_order = ImportOrder(order.attempt, order.source_url, order.handle)
@@ -289,10 +289,10 @@
             result = order()
         except (EngineRejected, EngineLost, EngineUnavailable) as error:
             self.release(attempt)
-            self._releaser.submit(attempt)
+            self._attempt_canceller.submit(attempt)
             raise AttemptLost(f"{self._setup.name}: {error.message}") from None
         if known.is_released:
-            self._releaser.submit(attempt)
+            self._attempt_canceller.submit(attempt)
             raise AttemptLost("the attempt was released while it ran; cancelling it")
         return result
 
@@ -324,7 +324,7 @@
         return Done()
 
     def _check_available(
-        self, role: str, refusal: type[NoDecodeRoom] | type[NoPrefillRoom]
+        self, role: str, refusal: type[NoDecodeCapacity] | type[NoPrefillCapacity]
     ) -> None:
         if self._is_leaving:
             raise NoBackend(
@@ -341,7 +341,7 @@
 
     # --- Engine events ---
 
-    def step_arrived(self, step: Step) -> None:
+    def on_step(self, step: Step) -> None:
         """Send each gateway its tokens of one decode step in a single frame."""
         frames: dict[SendFrame, list[StreamTokens]] = {}
         finished: list[str] = []
@@ -353,7 +353,7 @@
                 continue
             texts = (token.token,) if token.token else ()
             known.next_sequence = token.sequence + len(texts)
-            self.slots.progressed(token.request, len(texts))
+            self.slots.add_tokens(token.request, len(texts))
             part = StreamTokens(token.request, token.sequence, texts, token.finish)
             frames.setdefault(known.send, []).append(part)
             if token.finish:
@@ -392,14 +392,14 @@
         if known.send is not None and (part.tokens or part.finish):
             known.send(StepFrame((part,)))
 
-    def unknown_at_engine(self, held: set[str]) -> set[str]:
+    def unknown_attempts(self, held: set[str]) -> set[str]:
         """Return the attempts held by the engine that this agent has no record of."""
         with self._lock:
             return held - set(self._attempts)
 
     def cancel_unknown(self, request: str) -> None:
         """Cancel an attempt left at the engine by a previous agent process or a late command."""
-        self._releaser.submit(request)
+        self._attempt_canceller.submit(request)
 
     # --- Cleanup ---
 
--- a/src/yokedock/request/engine_choice.py
+++ b/src/yokedock/request/engine_choice.py
@@ -7,16 +7,16 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.randomness import new_random
 from yokedock.connection.dialect import GenerationTerms
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_costs import (
     COLOCATED_PREFILL_SLOWDOWN,
     INTERFERENCE_COST_S,
     START_S,
+    AvailableEngine,
     DecodeCandidate,
     EngineCosts,
-    RoomyEngine,
-    Sought,
+    PlacementQuery,
     colocated_cost_s,
     stream_demand,
 )
@@ -60,24 +60,30 @@
         service = call.service.name
         decodes = self._registry.usable(service, DECODE_ROLE)
         prefills = self._registry.usable(service, PREFILL_ROLE)
-        sought = Sought(terms, progress, traits, self._homes(service, terms))
-        available = self._with_capacity(self._sampled(decodes, sought), sought)
+        placement_query = PlacementQuery(terms, progress, traits, self._homes(service, terms))
+        available = self._with_capacity(self._sampled(decodes, placement_query), placement_query)
         if not available and len(decodes) > MAX_CANDIDATES:
-            available = self._with_capacity(decodes, sought)
+            available = self._with_capacity(decodes, placement_query)
         if not available:
             return None
-        cache_holders = self._cache_holders(service, sought)
+        cache_holders = self._cache_holders(service, placement_query)
         if not self._mechanisms.cached_copies:
             names = {candidate.backend.name for candidate in available}
             cache_holders = [holder for holder in cache_holders if holder.name in names]
         if cache_holders and not self._mechanisms.cached_copies:
-            return self._open_placement(cache_holders[0], None, sought)
-        candidates = [self._costs.weighed(one, sought) for one in available[:MAX_CANDIDATES]]
+            return self._open_placement(cache_holders[0], None, placement_query)
+        candidates = [
+            self._costs.evaluate(one, placement_query) for one in available[:MAX_CANDIDATES]
+        ]
         if cache_holders:
-            return self._reserve_near_cache(candidates, cache_holders, sought)
+            return self._reserve_near_cache(candidates, cache_holders, placement_query)
         colocated = min(candidates, key=colocated_cost_s)
-        eligible = [p for p in self._sampled(prefills, sought) if self._is_eligible(p, sought)]
-        pair = self._costs.best_pair(eligible, candidates, sought)
+        eligible = [
+            p
+            for p in self._sampled(prefills, placement_query)
+            if self._is_eligible(p, placement_query)
+        ]
+        pair = self._costs.best_pair(eligible, candidates, placement_query)
         if pair is not None:
             colocated_s = colocated.colocated_s + self._costs.colocated_penalty_s(
                 call, colocated.backend, pair.cost_s
@@ -85,23 +91,25 @@
             if self._costs.would_interfere(call, colocated.backend):
                 colocated_s += INTERFERENCE_COST_S
             if pair.cost_s <= colocated_s or not self._mechanisms.decode_reads:
-                return self._open_placement(pair.decode, pair.prefill, sought)
-        return self._open_placement(colocated.backend, None, sought)
+                return self._open_placement(pair.decode, pair.prefill, placement_query)
+        return self._open_placement(colocated.backend, None, placement_query)
 
     def places(self, call: RoutedCall, progress: Progress) -> int:
         """Return how many generations like this one currently fit on all engines together."""
         terms, traits = call.terms.generation, call.service.engine
         assert terms is not None and traits is not None
-        sought = Sought(terms, progress, traits)
+        placement_query = PlacementQuery(terms, progress, traits)
         needed_tokens = stream_demand("", terms, progress.made).memory_tokens()
         return sum(
             self._capacity_at(available, traits, needed_tokens)
             for available in self._with_capacity(
-                self._registry.usable(call.service.name, DECODE_ROLE), sought
+                self._registry.usable(call.service.name, DECODE_ROLE), placement_query
             )
         )
 
-    def _capacity_at(self, available: RoomyEngine, traits: EngineTraits, needed_tokens: int) -> int:
+    def _capacity_at(
+        self, available: AvailableEngine, traits: EngineTraits, needed_tokens: int
+    ) -> int:
         free_tokens = MAX_MEMORY_FILL * traits.memory_tokens - available.load.memory_tokens
         free_slots = traits.slots - available.load.streams
         return max(1, min(free_slots, int(free_tokens / max(1, needed_tokens))))
@@ -118,78 +126,85 @@
         tokens = terms.prompt_tokens + progress.made
         pace, service = self._ledger.pace, call.service.name
         prefill_times_s = [
-            slowness * tokens / pace.read_rate(engine.name)
+            slowness * tokens / pace.prefill_rate(engine.name)
             for role, slowness in ((PREFILL_ROLE, 1.0), (DECODE_ROLE, COLOCATED_PREFILL_SLOWDOWN))
             for engine in self._registry.usable(service, role)[:MAX_CANDIDATES]
         ]
         return START_S + min(prefill_times_s, default=0.0)
 
-    def _cache_holders(self, service: str, sought: Sought) -> list[Backend]:
+    def _cache_holders(self, service: str, placement_query: PlacementQuery) -> list[Backend]:
         """Return the engines that hold the prompt in their prefix cache."""
-        if not sought.progress.cached_at:
+        if not placement_query.progress.cached_at:
             return []
         now_s = boot_time_s()
         return [
             backend
             for backend in self._registry.usable(service)
-            if backend.name in sought.progress.cached_at
-            and self._is_eligible(backend, sought)
+            if backend.name in placement_query.progress.cached_at
+            and self._is_eligible(backend, placement_query)
             and not backend.health.is_suspect(now_s)
         ]
 
     def _reserve_near_cache(
-        self, candidates: list[DecodeCandidate], cache_holders: list[Backend], sought: Sought
+        self,
+        candidates: list[DecodeCandidate],
+        cache_holders: list[Backend],
+        placement_query: PlacementQuery,
     ) -> Placement:
         """Place the generation on or near an engine that caches the prompt, with no new prefill."""
         decode, holder = self._costs.cheapest_cached(candidates, cache_holders)
-        placement = self._open_placement(decode, None, sought)
+        placement = self._open_placement(decode, None, placement_query)
         fetch_from = None if decode is holder else holder
         return msgspec.structs.replace(placement, fetch_from=fetch_from)
 
     def _open_placement(
-        self, decode: Backend, prefill: Backend | None, sought: Sought
+        self, decode: Backend, prefill: Backend | None, placement_query: PlacementQuery
     ) -> Placement:
         """Reserve memory at the decode engine, and take permits of rate-limited engines."""
-        demand = stream_demand(decode.name, sought.terms, sought.progress.made)
-        promise = self._ledger.open_stream(demand)
+        demand = stream_demand(decode.name, placement_query.terms, placement_query.progress.made)
+        reservation = self._ledger.open_stream(demand)
         now_s = boot_time_s()
         has_decode_permit = decode.limit.take(now_s)
         has_prefill_permit = prefill is not None and prefill.limit.take(now_s)
         return Placement(
             decode,
             prefill,
-            sought.tokens,
+            placement_query.tokens,
             demand,
-            promise,
+            reservation,
             has_decode_permit=has_decode_permit,
             has_prefill_permit=has_prefill_permit,
         )
 
-    def _sampled(self, engines: list[Backend], sought: Sought) -> list[Backend]:
+    def _sampled(self, engines: list[Backend], placement_query: PlacementQuery) -> list[Backend]:
         """Return all engines, or a random sample including the prompt's homes and cache holders."""
         if len(engines) <= MAX_CANDIDATES:
             return engines
-        wanted = sought.homes | sought.progress.cached_at
+        wanted = placement_query.homes | placement_query.progress.cached_at
         known = (self._registry.get(name) for name in wanted)
         always = [backend for backend in known if backend is not None and backend in engines]
         return always + self._random.sample(engines, MAX_CANDIDATES - len(always))
 
-    def _with_capacity(self, decodes: list[Backend], sought: Sought) -> list[RoomyEngine]:
+    def _with_capacity(
+        self, decodes: list[Backend], placement_query: PlacementQuery
+    ) -> list[AvailableEngine]:
         """Return the decode engines with a free slot and enough memory for another stream."""
-        needed_tokens = stream_demand("", sought.terms, sought.progress.made).memory_tokens()
-        slots = sought.traits.slots
-        max_reserved = MAX_MEMORY_FILL * sought.traits.memory_tokens - needed_tokens
+        needed_tokens = stream_demand(
+            "", placement_query.terms, placement_query.progress.made
+        ).memory_tokens()
+        slots = placement_query.traits.slots
+        max_reserved = MAX_MEMORY_FILL * placement_query.traits.memory_tokens - needed_tokens
         load_of = self._ledger.load
-        available: list[RoomyEngine] = []
+        available: list[AvailableEngine] = []
         for backend in decodes:
             load = load_of(backend.name)
             has_memory = load.memory_tokens <= max_reserved or load.memory_tokens == 0
-            if has_memory and load.streams < slots and self._is_eligible(backend, sought):
-                available.append(RoomyEngine(backend, load))
+            if has_memory and load.streams < slots and self._is_eligible(backend, placement_query):
+                available.append(AvailableEngine(backend, load))
         return available
 
-    def _is_eligible(self, backend: Backend, sought: Sought) -> bool:
-        is_avoided = backend.name in sought.progress.avoid
+    def _is_eligible(self, backend: Backend, placement_query: PlacementQuery) -> bool:
+        is_avoided = backend.name in placement_query.progress.avoid
         return not is_avoided and not self._registry.is_changing(backend.name)
 
     def _homes(self, service: str, terms: GenerationTerms) -> frozenset[str]:
--- a/src/yokedock/request/engine_costs.py
+++ b/src/yokedock/request/engine_costs.py
@@ -8,11 +8,11 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.connection.dialect import GenerationTerms
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import Progress
 from yokedock.request.mechanisms import Mechanisms
-from yokedock.request.remote_promises import EngineTotals
+from yokedock.request.remote_reservations import EngineTotals
 from yokedock.request.routed_call import RoutedCall
 from yokedock.version.route_table import EngineTraits
 
@@ -48,7 +48,7 @@
 """Time from the end of the prefill to the first token: transfer and first decode step."""
 
 
-class Sought(msgspec.Struct, frozen=True):
+class PlacementQuery(msgspec.Struct, frozen=True):
     """The requirements of a placement."""
 
     terms: GenerationTerms
@@ -63,7 +63,7 @@
         return self.terms.prompt_tokens + self.progress.made
 
 
-class RoomyEngine(msgspec.Struct, frozen=True, gc=False):
+class AvailableEngine(msgspec.Struct, frozen=True, gc=False):
     """A decode engine with capacity, and the load reserved there."""
 
     backend: Backend
@@ -105,18 +105,24 @@
         self._ledger = ledger
         self._mechanisms = mechanisms
 
-    def weighed(self, available: RoomyEngine, sought: Sought) -> DecodeCandidate:
+    def evaluate(
+        self, available: AvailableEngine, placement_query: PlacementQuery
+    ) -> DecodeCandidate:
         """Return a decode engine with its costs."""
         decode = available.backend
-        cost_s = self._decode_cost_s(decode, available.load, sought)
+        cost_s = self._decode_cost_s(decode, available.load, placement_query)
         colocated_s = (
-            COLOCATED_PREFILL_SLOWDOWN * self._prefill_time_s(decode, available.load, sought)
+            COLOCATED_PREFILL_SLOWDOWN
+            * self._prefill_time_s(decode, available.load, placement_query)
             + cost_s
         )
         return DecodeCandidate(decode, cost_s, colocated_s)
 
     def best_pair(
-        self, prefills: Iterable[Backend], candidates: list[DecodeCandidate], sought: Sought
+        self,
+        prefills: Iterable[Backend],
+        candidates: list[DecodeCandidate],
+        placement_query: PlacementQuery,
     ) -> EnginePair | None:
         """Return the cheapest pair, None if there is no prefill engine.
 
@@ -132,7 +138,7 @@
         cheapest = min(by_zone.values(), key=_cost_s)
         best: EnginePair | None = None
         for prefill in prefills:
-            cost_s = self._prefill_cost_s(prefill, sought)
+            cost_s = self._prefill_cost_s(prefill, placement_query)
             decode, decode_s = cheapest, cheapest.cost_s + OTHER_ZONE_COST_S
             near = by_zone.get(prefill.entry.zone)
             if near is not None and near.cost_s <= decode_s:
@@ -172,31 +178,37 @@
     def would_interfere(self, call: RoutedCall, colocated: Backend) -> bool:
         """Return whether prefill on ``colocated`` would cause too long pauses in its streams."""
         longest_s = MAX_PAUSE_SHARE * call.route.gap_target_s
-        is_slow = self._ledger.pace.reading_pause_s(colocated.name) > longest_s > 0
+        is_slow = self._ledger.pace.prefilling_pause_s(colocated.name) > longest_s > 0
         return is_slow and self._ledger.streams(colocated.name) > 0
 
-    def _prefill_cost_s(self, prefill: Backend, sought: Sought) -> float:
+    def _prefill_cost_s(self, prefill: Backend, placement_query: PlacementQuery) -> float:
         """Return the predicted prefill time, plus failure cost and minus any affinity bonus."""
         load = self._ledger.load(prefill.name)
-        cost_s = self._prefill_time_s(prefill, load, sought) + self._failure_cost_s(prefill)
-        return cost_s - AFFINITY_BONUS_S if prefill.name in sought.homes else cost_s
+        cost_s = self._prefill_time_s(prefill, load, placement_query) + self._failure_cost_s(
+            prefill
+        )
+        return cost_s - AFFINITY_BONUS_S if prefill.name in placement_query.homes else cost_s
 
-    def _prefill_time_s(self, engine: Backend, load: EngineTotals, sought: Sought) -> float:
+    def _prefill_time_s(
+        self, engine: Backend, load: EngineTotals, placement_query: PlacementQuery
+    ) -> float:
         """Return the predicted time to prefill the prompt, including the backlog."""
-        tokens_to_prefill = load.prefill_tokens + sought.tokens
-        return tokens_to_prefill / self._ledger.pace.read_rate(engine.name)
+        tokens_to_prefill = load.prefill_tokens + placement_query.tokens
+        return tokens_to_prefill / self._ledger.pace.prefill_rate(engine.name)
 
-    def _decode_cost_s(self, decode: Backend, load: EngineTotals, sought: Sought) -> float:
+    def _decode_cost_s(
+        self, decode: Backend, load: EngineTotals, placement_query: PlacementQuery
+    ) -> float:
         """Return the cost of a decode engine from its utilization, speed, affinity and failures."""
-        fullness = load.memory_tokens / sought.traits.memory_tokens
+        fullness = load.memory_tokens / placement_query.traits.memory_tokens
         slowness = self._ledger.pace.slowness(decode.name) - SLOWNESS_TOLERANCE
         cost_s = START_S + UTILIZATION_COST_S * fullness + SLOWNESS_COST_S * max(0.0, slowness)
-        if decode.name in sought.homes:
+        if decode.name in placement_query.homes:
             cost_s -= AFFINITY_BONUS_S
         return cost_s + self._failure_cost_s(decode)
 
     def _failure_cost_s(self, backend: Backend) -> float:
-        return backend.health.failure_share(boot_time_s())
+        return backend.health.failure_rate(boot_time_s())
 
 
 def stream_demand(engine: str, terms: GenerationTerms, made: int) -> StreamDemand:
--- a/src/yokedock/request/engine_ledger.py
+++ b/src/yokedock/request/engine_ledger.py
@@ -13,10 +13,10 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.connection.router_state import EngineShare
-from yokedock.request.engine_pace import EnginePace
+from yokedock.request.engine_performance import EnginePerformance
 from yokedock.request.mechanisms import ALL_ON, Mechanisms
-from yokedock.request.remote_promises import EngineTotals, RemotePromises
-from yokedock.request.stream_turnover import StreamTurnover
+from yokedock.request.remote_reservations import EngineTotals, RemoteReservations
+from yokedock.request.stream_duration import StreamDuration
 
 EXPECTED_GROWTH_SHARE = 0.75
 """Share of the expected remaining output that is reserved: streams do not all peak at the same
@@ -71,14 +71,14 @@
         self._demands_at: dict[str, dict[int, StreamDemand]] = {}
         self._prefills_at: dict[str, dict[int, PrefillDemand]] = {}
         """The same demands by engine, since most queries are for a single engine."""
-        self._remote = RemotePromises(clock)
-        self.pace = EnginePace(clock, mechanisms.pace)
-        self.turnover = StreamTurnover()
+        self._remote = RemoteReservations(clock)
+        self.pace = EnginePerformance(clock, mechanisms.pace)
+        self.turnover = StreamDuration()
         self._opened_s: dict[int, float] = {}
         self._next_key = 0
         self.on_change: Callable[[], None] = lambda: None
         """Called when this router's reservations change."""
-        self.on_room: Callable[[], None] = lambda: None
+        self.on_capacity_freed: Callable[[], None] = lambda: None
         """Called when capacity may have become free, through this router or another."""
 
     # --- This router's reservations ---
@@ -99,7 +99,7 @@
             _remove(self._demands_at, demand.engine, key)
             self.turnover.note(self._clock() - self._opened_s.pop(key))
         self.on_change()
-        self.on_room()
+        self.on_capacity_freed()
 
     def open_prefill(self, engine: str, tokens: int) -> int:
         """Record the start of a prefill; return the key with which to close it."""
@@ -119,7 +119,7 @@
         _remove(self._prefills_at, demand.engine, key)
         if is_done:
             took_s = self._clock() - demand.started_s
-            self.pace.note_read(demand.engine, demand.tokens + demand.ahead_tokens, took_s)
+            self.pace.note_prefill(demand.engine, demand.tokens + demand.ahead_tokens, took_s)
         self.on_change()
 
     def shares(self) -> dict[str, EngineShare]:
@@ -160,17 +160,17 @@
         for engine, share in shares.items():
             self.pace.heard(engine, share.pause_ms, share.read_tokens_per_ms, told_s)
         if has_freed_capacity:
-            self.on_room()
+            self.on_capacity_freed()
 
     def forget(self, router: str) -> None:
         """Remove the reservations of a router that left."""
         if self._remote.forget(router):
-            self.on_room()
+            self.on_capacity_freed()
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Remove expired reservations of silent routers, independently of any query."""
-        if self._remote.drop_lapsed():
-            self.on_room()
+        if self._remote.drop_expired():
+            self.on_capacity_freed()
 
     # --- Totals ---
 
@@ -201,7 +201,7 @@
 
     def backlog_s(self, engine: str) -> float:
         """Return the time ``engine`` needs to complete its prefill backlog, in seconds."""
-        return self.prefill_backlog(engine) / self.pace.read_rate(engine)
+        return self.prefill_backlog(engine) / self.pace.prefill_rate(engine)
 
     def _new_key(self) -> int:
         self._next_key += 1
--- a/src/yokedock/request/engine_pace.py
+++ b/src/yokedock/request/engine_performance.py
@@ -13,7 +13,7 @@
 
 from yokedock.base.clock import boot_time_s
 
-FIRST_READ_RATE = 40_000.0
+INITIAL_PREFILL_RATE = 40_000.0
 """Initial estimate of the prefill rate in tokens/s, used until a rate has been measured."""
 INITIAL_PREFILL_PAUSE_RATIO = 5.0
 """Initial ratio of the pause between events during a prefill on the same engine to the pause
@@ -28,7 +28,7 @@
 PAUSE_HALF_LIFE_S = 20.0
 RECENT_S = 2.0
 """Measurements up to this age are shared with other routers; older ones are replaced by theirs."""
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 
 
 class SmoothedValue(msgspec.Struct):
@@ -42,7 +42,7 @@
         self.value += WEIGHT * (value - self.value)
         self.noted_s = now_s
 
-    def faded(self, typical: float, now_s: float, half_life_s: float) -> float:
+    def decayed_towards(self, typical: float, now_s: float, half_life_s: float) -> float:
         """Return the average, decayed towards ``typical`` with its age."""
         trust = float(0.5 ** ((now_s - self.noted_s) / half_life_s))
         return typical + (self.value - typical) * trust
@@ -93,7 +93,7 @@
         measured = self._measured.get(engine)
         if measured is None:
             return self.typical
-        return measured.faded(self.typical, now_s, self._half_life_s)
+        return measured.decayed_towards(self.typical, now_s, self._half_life_s)
 
     def _take_in(self, value: float) -> None:
         bisect.insort(self._ordered, value)
@@ -108,7 +108,7 @@
         self.typical = ordered[len(ordered) // 2] if ordered else self._initial
 
 
-class EnginePace:
+class EnginePerformance:
     """Prefill rates (tokens/s) and pauses between stream events (s) by engine."""
 
     def __init__(self, clock: Callable[[], float] = boot_time_s, is_used: bool = True) -> None:
@@ -118,11 +118,11 @@
         """
         self._clock = clock
         self._is_used = is_used
-        self._prefill_rates = SmoothedValueTable(FIRST_READ_RATE, PREFILL_RATE_HALF_LIFE_S)
+        self._prefill_rates = SmoothedValueTable(INITIAL_PREFILL_RATE, PREFILL_RATE_HALF_LIFE_S)
         self._pauses = SmoothedValueTable(0.0, PAUSE_HALF_LIFE_S)
         self._prefill_pause_ratio = INITIAL_PREFILL_PAUSE_RATIO
 
-    def note_read(self, engine: str, tokens: int, took_s: float) -> None:
+    def note_prefill(self, engine: str, tokens: int, took_s: float) -> None:
         """Record that ``engine`` prefilled ``tokens`` in ``took_s``.
 
         ``tokens`` includes the prompts that were queued ahead of this one.
@@ -140,7 +140,7 @@
             weight = RATIO_RISE_WEIGHT if ratio > self._prefill_pause_ratio else RATIO_FALL_WEIGHT
             self._prefill_pause_ratio += weight * (ratio - self._prefill_pause_ratio)
 
-    def read_rate(self, engine: str) -> float:
+    def prefill_rate(self, engine: str) -> float:
         """Return the estimated prefill rate of ``engine`` in tokens/s."""
         return self._prefill_rates.expected(engine, self._clock())
 
@@ -151,7 +151,7 @@
             return 1.0
         return self._pauses.expected(engine, self._clock()) / typical
 
-    def reading_pause_s(self, engine: str) -> float:
+    def prefilling_pause_s(self, engine: str) -> float:
         """Return the expected pause between events on ``engine`` during a prefill there."""
         return self._pauses.expected(engine, self._clock()) * self._prefill_pause_ratio
 
@@ -168,8 +168,8 @@
         """Return the pause (ms) and prefill rate (tokens/ms); 0 without a recent measurement."""
         pause, rate = self._pauses.get(engine), self._prefill_rates.get(engine)
         now_s = self._clock()
-        pause_ms = round(pause.value * MS_A_SECOND) if pause and _is_recent(pause, now_s) else 0
-        rate_per_ms = round(rate.value / MS_A_SECOND) if rate and _is_recent(rate, now_s) else 0
+        pause_ms = round(pause.value * MS_PER_SECOND) if pause and _is_recent(pause, now_s) else 0
+        rate_per_ms = round(rate.value / MS_PER_SECOND) if rate and _is_recent(rate, now_s) else 0
         return pause_ms, rate_per_ms
 
     def heard(
@@ -181,9 +181,9 @@
         """
         told_s = self._clock() if told_s is None else told_s
         if pause_ms and not _is_recent(self._pauses.get(engine), told_s):
-            self._note(self._pauses, engine, pause_ms / MS_A_SECOND, told_s)
+            self._note(self._pauses, engine, pause_ms / MS_PER_SECOND, told_s)
         if read_tokens_per_ms and not _is_recent(self._prefill_rates.get(engine), told_s):
-            self._note(self._prefill_rates, engine, read_tokens_per_ms * MS_A_SECOND, told_s)
+            self._note(self._prefill_rates, engine, read_tokens_per_ms * MS_PER_SECOND, told_s)
 
     def _note(self, table: SmoothedValueTable, engine: str, value: float, noted_s: float) -> None:
         if self._is_used:
--- a/src/yokedock/request/engine_placement.py
+++ b/src/yokedock/request/engine_placement.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.engine_ledger import StreamDemand
 from yokedock.request.routed_call import RoutedCall
 
@@ -40,7 +40,7 @@
     tokens: int
     """Tokens to prefill, including those already generated."""
     demand: StreamDemand
-    promise: int
+    reservation: int
     """Key of the reservation in the ledger; the receiver of the placement has to close it."""
     fetch_from: Backend | None = None
     """An engine that caches the prompt, if the decode engine does not."""
@@ -62,7 +62,7 @@
         """Return when the caller of a silent stream times out (boot time, s)."""
 
     @abc.abstractmethod
-    def return_after_s(self, call: RoutedCall) -> float:
+    def retry_after_s(self, call: RoutedCall) -> float:
         """Return the retry delay for a caller that is refused now, in seconds."""
 
     @abc.abstractmethod
--- a/src/yokedock/request/generation_call.py
+++ b/src/yokedock/request/generation_call.py
@@ -13,7 +13,7 @@
 from yokedock.errors import (
     DeadlineExceeded,
     EngineRejected,
-    NoDecodeRoom,
+    NoDecodeCapacity,
     Refused,
     RetryBudgetSpent,
     YokedockError,
@@ -22,18 +22,18 @@
 from yokedock.request.cache_lookup import CacheLookup
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.engine_placement import EnginePlacement, Placement
-from yokedock.request.generation_runs import LEAST_USEFUL_S, GenerationDispatcher
+from yokedock.request.generation_dispatch import MIN_ATTEMPT_TIME_S, GenerationDispatcher
 from yokedock.request.generation_state import (
     GenerationState,
     log_placement,
     log_stream_summary,
 )
 from yokedock.request.mechanisms import ALL_ON, Mechanisms
-from yokedock.request.prompt_reads import PromptReads
+from yokedock.request.prefill_tracker import PrefillTracker
 from yokedock.request.retry_allowance import RetryAllowance
 from yokedock.request.routed_call import RoutedCall
+from yokedock.request.silence_detector import SilenceDetector
 from yokedock.request.stream_relay import StreamRelay
-from yokedock.request.stream_watch import StreamWatch
 from yokedock.router_errors import (
     BackendAnswerLost,
     BackendBroken,
@@ -69,33 +69,33 @@
         self._allowance = allowance
         self._lookup = lookup
         self._mechanisms = mechanisms
-        watch = StreamWatch(is_used=mechanisms.silence_watch)
+        watch = SilenceDetector(is_used=mechanisms.silence_watch)
         self._dispatcher = GenerationDispatcher(ledger, exchanges, watch)
 
     async def serve(self, call: RoutedCall) -> None:
         """Serve the request; raised errors are returned to the caller."""
         relay = StreamRelay(call.answer, call.terms.last_event_id)
         with self._allowance.request(call.service.name, call.request_id) as retries:
-            reads = PromptReads(call.request_id)
+            reads = PrefillTracker(call.request_id)
             await self._serve_with_deadline(call, GenerationState(relay, retries, reads))
 
     async def _serve_with_deadline(self, call: RoutedCall, state: GenerationState) -> None:
         """Serve the request within its deadline."""
         try:
-            async with asyncio.timeout(call.left_s()):
+            async with asyncio.timeout(call.remaining_s()):
                 if call.terms.last_event_id is not None:
                     await self._refresh_prompt_locations(call, state)
                 await self._serve(call, state)
             state.reads.end(is_whole=True)
         except TimeoutError:
             state.reads.lost("end", "deadline exceeded")
-            raise self._final(
+            raise self._final_error(
                 call, DeadlineExceeded("deadline exceeded; allow more time")
             ) from None
         finally:
             state.reads.end(is_whole=False)
-            call.first_piece_s = state.relay.first_s
-            call.longest_pause_s = state.relay.longest_gap_s
+            call.first_event_s = state.relay.first_s
+            call.max_event_gap_s = state.relay.longest_gap_s
             if state.source is not None:
                 self._dispatcher.release(state.source, state.source_engine)
             log_stream_summary(call, state)
@@ -111,27 +111,31 @@
             except BackendUnreachable as error:
                 gives_up_s = self._placement.gives_up_s(call, state.progress(call))
                 is_over = boot_time_s() > gives_up_s or not self._mechanisms.reconnects
-                if is_over or not state.retries.may_go_on(call, LEAST_USEFUL_S, is_arrival=False):
-                    raise self._final(call, error) from None
+                if is_over or not state.retries.reserve_retry(
+                    call, MIN_ATTEMPT_TIME_S, uses_budget=False
+                ):
+                    raise self._final_error(call, error) from None
                 await asyncio.sleep(RECONNECT_S)
             except BackendRefused as error:
                 has_too_many_refusals = len(state.excluded_engines) >= MAX_REFUSALS
-                if has_too_many_refusals or not state.retries.may_go_on(call, LEAST_USEFUL_S):
-                    raise self._final(call, error) from None
+                if has_too_many_refusals or not state.retries.reserve_retry(
+                    call, MIN_ATTEMPT_TIME_S
+                ):
+                    raise self._final_error(call, error) from None
                 _log.info("again", request=call.request_id, reason=error.message)
             except (BackendBroken, EngineRejected) as error:
                 if isinstance(error, BackendSilent):
                     state.exclude_silent_engine(placement)
                 elif state.relay.events and self._mechanisms.avoid_broken:
                     state.excluded_engines.add(placement.decode.name)
-                may_go_on = self._mechanisms.resume or not state.relay.events
-                if not may_go_on or not state.retries.may_go_on(call, LEAST_USEFUL_S):
-                    raise self._final(call, error) from None
+                reserve_retry = self._mechanisms.resume or not state.relay.events
+                if not reserve_retry or not state.retries.reserve_retry(call, MIN_ATTEMPT_TIME_S):
+                    raise self._final_error(call, error) from None
                 _log.info("again", request=call.request_id, reason=error.message)
                 if state.relay.events:
                     await self._refresh_prompt_locations(call, state)
             except (Refused, RetryBudgetSpent) as error:
-                raise self._final(call, error) from None
+                raise self._final_error(call, error) from None
 
     async def _refresh_prompt_locations(self, call: RoutedCall, state: GenerationState) -> None:
         """Query which engines have the prompt cached now: an engine that failed may be gone."""
@@ -159,7 +163,7 @@
             state.reads.lost("answer" if state.reads.read_s else "reading", error.message)
             raise
         finally:
-            self._ledger.close_stream(placement.promise)
+            self._ledger.close_stream(placement.reservation)
 
     def _set_aside(self, call: RoutedCall, state: GenerationState, placement: Placement) -> None:
         """Reserve retry budget for all arrivals of an attempt; raises ``RetryBudgetSpent``.
@@ -171,7 +175,7 @@
         if not state.retries.set_aside(arrivals):
             raise RetryBudgetSpent(f"the retry budget of {call.service.name} is exhausted")
 
-    def _final(self, call: RoutedCall, error: YokedockError) -> YokedockError:
+    def _final_error(self, call: RoutedCall, error: YokedockError) -> YokedockError:
         """Return the error for the caller; it says "not run" only if that is certain."""
         _log.info(
             "given up",
@@ -186,7 +190,7 @@
             if isinstance(error, Refused):
                 return error
             message = f"{error.message}; the request was not run, retry later"
-            return NoDecodeRoom(message, self._placement.return_after_s(call))
+            return NoDecodeCapacity(message, self._placement.retry_after_s(call))
         if isinstance(error, DeadlineExceeded):
             return error
         return BackendAnswerLost(
