--- a/src/yokedock/request/generation_runs.py
+++ b/src/yokedock/request/generation_dispatch.py
@@ -14,13 +14,13 @@
 from yokedock.connection.short_call import CallLimits, ShortCall, short_call
 from yokedock.errors import EngineRejected
 from yokedock.request.backend_exchange import SERVER_ERROR, BackendExchange, BackendExchanges
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import Placement
 from yokedock.request.generation_state import GenerationState, tokens_per_event
-from yokedock.request.routed_call import RoutedCall, WholeAnswer
+from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.request.silence_detector import SilenceDetector
 from yokedock.request.stream_relay import StreamRelay
-from yokedock.request.stream_watch import StreamWatch
 from yokedock.router_errors import BackendBroken, BackendRefused, BackendUnreachable
 
 _log = logger("generation")
@@ -31,7 +31,7 @@
 """Lower bound of that timeout: other routers may have prefills on the same engine."""
 STALL_TIMEOUT_S = 1.2
 """A resumable stream without data for this long is continued on another engine."""
-LEAST_USEFUL_S = 0.1
+MIN_ATTEMPT_TIME_S = 0.1
 """Minimum time left for a retry on another engine: connect, prefill and one decode step."""
 KEPT_SHARE = 0.8
 """Share of an engine's retention time for a prefill result during which the result is used."""
@@ -43,7 +43,7 @@
     """Sends prefill and decode requests to engines and relays their streams."""
 
     def __init__(
-        self, ledger: EngineLedger, exchanges: BackendExchanges, watch: StreamWatch
+        self, ledger: EngineLedger, exchanges: BackendExchanges, watch: SilenceDetector
     ) -> None:
         """Use the process-wide ledger, connections and detector of silent engines."""
         self._ledger = ledger
@@ -69,7 +69,7 @@
         try:
             async with self._exchanges.open(engine, call, placement.has_prefill_permit) as exchange:
                 if state.is_extra_prefill():
-                    state.retries.note_arrival()
+                    state.retries.record_arrival()
                 state.prefills += 1
                 order = BackendOrder(
                     engine.entry.instance, call.backend_deadline_ms(), is_prefill=True
@@ -102,7 +102,7 @@
     def _prefill_timeout_s(self, call: RoutedCall, engine: Backend) -> float:
         predicted_s = self._ledger.backlog_s(engine.name)
         patience_s = max(MIN_PREFILL_TIMEOUT_S, PREFILL_TIMEOUT_FACTOR * predicted_s)
-        return min(call.left_s(), patience_s)
+        return min(call.remaining_s(), patience_s)
 
     async def prefill_and_decode(
         self, call: RoutedCall, state: GenerationState, placement: Placement
@@ -118,21 +118,21 @@
 
     async def decode(self, call: RoutedCall, state: GenerationState, placement: Placement) -> None:
         """Run the decode and relay its stream to the caller."""
-        relay, engine, keeper = state.relay, placement.decode, placement.fetch_from
+        relay, engine, cache_holder = state.relay, placement.decode, placement.fetch_from
         async with self._exchanges.open(engine, call, placement.has_decode_permit) as exchange:
             if state.is_extra_run(call):
-                state.retries.note_arrival()
+                state.retries.record_arrival()
             state.retries.give_back()
             call.arrivals += 1
             order = BackendOrder(
                 engine.entry.instance,
                 call.backend_deadline_ms(),
                 kv_source=state.valid_source(),
-                fetch_from=keeper.entry.address if keeper is not None else None,
+                fetch_from=cache_holder.entry.address if cache_holder is not None else None,
                 last_event_id=relay.last_id if relay.events else None,
             )
             try:
-                with call.one_run():
+                with call.track_run():
                     if state.must_read(placement):
                         state.reads.begin(engine.name, placement.tokens)
                     await exchange.send(order)
@@ -154,14 +154,14 @@
         relay = state.relay
         relay.begin_run()
         is_resumable = call.route.resumable and call.runs < call.route.max_attempts
-        patience_s = STALL_TIMEOUT_S if is_resumable else call.left_s()
-        exchange.suspect_after(STALL_TIMEOUT_S)
+        patience_s = STALL_TIMEOUT_S if is_resumable else call.remaining_s()
+        exchange.start_silence_timer(STALL_TIMEOUT_S)
         stream = self._watch.open(exchange.backend, is_resumable)
         try:
-            head = await stream.within(patience_s, exchange.read_head(call.left_s()))
+            head = await stream.within(patience_s, exchange.read_head(call.remaining_s()))
             state.source = None
             if head.status != 200:
-                await self._handle_error_response(call, state, exchange, WholeAnswer(head, b""))
+                await self._handle_error_response(call, state, exchange, BufferedAnswer(head, b""))
                 return
             parts = exchange.body_parts()
             while (part := await stream.within(patience_s, anext(parts, None))) is not None:
@@ -204,24 +204,25 @@
         call: RoutedCall,
         state: GenerationState,
         exchange: BackendExchange,
-        answer: WholeAnswer,
+        answer: BufferedAnswer,
     ) -> None:
         """Return the engine's error response to the caller, or retry on another engine."""
         parts = [part async for part in exchange.body_parts()]
         exchange.finish(is_failure=answer.head.status >= SERVER_ERROR)
         if call.answer.has_started or (
-            answer.head.status >= SERVER_ERROR and state.retries.may_go_on(call, LEAST_USEFUL_S)
+            answer.head.status >= SERVER_ERROR
+            and state.retries.reserve_retry(call, MIN_ATTEMPT_TIME_S)
         ):
             raise BackendBroken(f"{exchange.backend.name} returned status {answer.head.status}")
         await call.answer.whole(answer.head, b"".join(parts))
 
-    def release(self, source: str, keeper: Backend | None) -> None:
+    def release(self, source: str, cache_holder: Backend | None) -> None:
         """Release a prefill result in the background; it would expire soon in any case."""
-        if keeper is not None:
+        if cache_holder is not None:
             now_s = boot_time_s()
-            if not keeper.may_take(now_s):
+            if not cache_holder.may_take(now_s):
                 return
-            keeper.limit.take(now_s)
+            cache_holder.limit.take(now_s)
         address, _, handle = source.partition("/")
         task = asyncio.create_task(self._send_release(address, handle))
         self._releases.add(task)
--- a/src/yokedock/request/generation_state.py
+++ b/src/yokedock/request/generation_state.py
@@ -6,9 +6,9 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.engine_placement import Placement, Progress
-from yokedock.request.prompt_reads import PromptReads
+from yokedock.request.prefill_tracker import PrefillTracker
 from yokedock.request.retry_allowance import RequestRetries
 from yokedock.request.routed_call import RoutedCall
 from yokedock.request.stream_relay import StreamRelay
@@ -24,7 +24,7 @@
 
     relay: StreamRelay
     retries: RequestRetries
-    reads: PromptReads
+    reads: PrefillTracker
     excluded_engines: set[str] = msgspec.field(default_factory=set)
     """Engines that refused, broke off or were silent; they are avoided by later placements."""
     source: str | None = None
--- a/src/yokedock/request/idempotency.py
+++ b/src/yokedock/request/idempotency.py
@@ -86,7 +86,7 @@
     return key_created_ms
 
 
-class IdempotencyRecord:
+class IdempotencyStore:
     """Lets each key run at most once. Thread-safe."""
 
     def __init__(self, started_at_ms: int) -> None:
--- a/src/yokedock/request/model_request.py
+++ b/src/yokedock/request/model_request.py
@@ -4,15 +4,15 @@
 
 import time
 
-from yokedock.base.clock import deadline_in, left_s
+from yokedock.base.clock import deadline_in, remaining_s
 from yokedock.base.logs import logger
 from yokedock.errors import (
     AnswerLost,
     AttemptLost,
     LeaseExpired,
     NoBackend,
-    NoDecodeRoom,
-    NoPrefillRoom,
+    NoDecodeCapacity,
+    NoPrefillCapacity,
     Outcome,
     PeerUnreachable,
     Refused,
@@ -21,7 +21,7 @@
 )
 from yokedock.request.admission import RetryBudget
 from yokedock.request.answer_stream import AnswerStream
-from yokedock.request.attempt import Attempt, AttemptServices, ModelOrder, Placed
+from yokedock.request.attempt import Attempt, AttemptPlacement, AttemptServices, ModelOrder
 from yokedock.request.context import RequestContext
 from yokedock.request.prefix import estimate_tokens
 from yokedock.version.bundle import Bundle
@@ -32,7 +32,7 @@
 """How long a request whose attempt was lost waits for capacity before it fails."""
 CAPACITY_RETRY_MIN_S = 0.05
 CAPACITY_RETRY_MAX_S = 0.25
-_CAPACITY_ERRORS = (NoDecodeRoom, NoPrefillRoom, NoBackend, LeaseExpired)
+_CAPACITY_ERRORS = (NoDecodeCapacity, NoPrefillCapacity, NoBackend, LeaseExpired)
 """Rejections after which a request whose attempt was lost waits for capacity."""
 
 
@@ -66,7 +66,7 @@
 
     def serve(
         self, context: RequestContext, order: ModelOrder, stream: AnswerStream
-    ) -> list[Placed]:
+    ) -> list[AttemptPlacement]:
         """Produce the complete response into ``stream``; raises a typed error on failure.
 
         Returns the placements of all attempts. An error says "not run" only if that is certain.
@@ -83,12 +83,12 @@
 
     def _serve(
         self, context: RequestContext, order: ModelOrder, stream: AnswerStream
-    ) -> list[Placed]:
+    ) -> list[AttemptPlacement]:
         """Start attempts until one completes the response."""
         bundle = self._services.store.current()
         self._budget.add_request(bundle.limits.retry_share)
         self._record_demand(order, bundle)
-        placed: list[Placed] = []
+        placed: list[AttemptPlacement] = []
         capacity_deadline_s = 0.0
         while True:
             context.check()
@@ -130,7 +130,7 @@
         ``model`` that are disconnected are reconnected early, since one may have restarted.
         """
         context.check()
-        if left_s(capacity_deadline_s) <= 0:
+        if remaining_s(capacity_deadline_s) <= 0:
             raise error
         for peer in self._services.peers_of_model(model):
             if not peer.view.is_connected:
--- a/src/yokedock/request/openai_format.py
+++ b/src/yokedock/request/openai_format.py
@@ -187,7 +187,7 @@
             (self._chunk_start, encoded, self._chunk_end, reason, b',"logprobs":null}]}\n\n')
         )
 
-    def opening(self) -> bytes:
+    def opening_event(self) -> bytes:
         """Return the first event of a chat stream, which carries the role; else nothing."""
         if not self._is_chat:
             return b""
@@ -241,7 +241,7 @@
         """Send the tokens as one event."""
         event = self._format.chunk("".join(tokens), finish)
         if self._write is None:
-            event = self._format.opening() + event
+            event = self._format.opening_event() + event
         self._send(event)
 
     def write_error(self, error: YokedockError) -> None:
@@ -264,7 +264,7 @@
         self._write(data)
 
 
-class WholeAnswerWriter(AnswerWriter):
+class BufferedAnswerWriter(AnswerWriter):
     """Writes nothing: the complete text is read from the ``AnswerStream`` at its end."""
 
     def write_tokens(self, tokens: tuple[str, ...], finish: str) -> None:
--- a/src/yokedock/request/placement.py
+++ b/src/yokedock/request/placement.py
@@ -65,7 +65,7 @@
 class PlacementPolicy(abc.ABC):
     """Ranks the candidate engines for both roles, best first."""
 
-    reserves = True
+    reserves_decode = True
     """Whether a decode slot is reserved before the prefill starts."""
 
     @abc.abstractmethod
@@ -78,11 +78,11 @@
     ) -> list[PrefillChoice]:
         """Return the prefill engines, best first."""
 
-    def decode_sent(self, peer: AgentPeerHandle) -> None:
+    def record_decode_placement(self, peer: AgentPeerHandle) -> None:
         """Record that a stream was placed on the peer; a no-op in the base class."""
         return
 
-    def prefill_sent(self, peer: AgentPeerHandle, tokens: int) -> None:
+    def record_prefill_placement(self, peer: AgentPeerHandle, tokens: int) -> None:
         """Record that a prefill was placed on the peer; a no-op in the base class."""
         return
 
@@ -103,15 +103,15 @@
     def __init__(
         self,
         zone: str,
-        reserves: bool = True,
+        reserves_decode: bool = True,
         uses_prefix: bool = True,
-        corrects: bool = True,
+        corrects_load: bool = True,
     ) -> None:
         """``zone`` is the gateway's own zone; the flags disable individual mechanisms."""
         self._zone = zone
-        self.reserves = reserves
+        self.reserves_decode = reserves_decode
         self._uses_prefix = uses_prefix
-        self._corrects_load = corrects
+        self._corrects_load = corrects_load
         self._random = new_random()
         self._slots_sent = UnreportedLoad()
         self._tokens_sent = UnreportedLoad()
@@ -127,12 +127,12 @@
         choices = [PrefillChoice(p, self._predicted_finish_s(p, blocks, tokens)) for p in peers]
         return sorted(choices, key=lambda choice: (choice.predicted_s, self._random.random()))
 
-    def decode_sent(self, peer: AgentPeerHandle) -> None:
+    def record_decode_placement(self, peer: AgentPeerHandle) -> None:
         """Record that a stream was placed on the peer."""
         if self._corrects_load:
             self._slots_sent.add(peer, 1)
 
-    def prefill_sent(self, peer: AgentPeerHandle, tokens: int) -> None:
+    def record_prefill_placement(self, peer: AgentPeerHandle, tokens: int) -> None:
         """Record that a prefill was placed on the peer."""
         if self._corrects_load:
             self._tokens_sent.add(peer, tokens)
@@ -157,7 +157,7 @@
 class LeastLoadedPolicy(PlacementPolicy):
     """Baseline: the less loaded of two random engines, using only the lagging load report."""
 
-    reserves = False
+    reserves_decode = False
 
     def __init__(self, seed: int | None = None) -> None:
         """``seed`` makes the random choices reproducible."""
@@ -186,7 +186,7 @@
 class RoundRobinPolicy(PlacementPolicy):
     """Baseline: engines are chosen in rotation, ordered by name."""
 
-    reserves = False
+    reserves_decode = False
 
     def __init__(self) -> None:
         """Start both rotations."""
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -42,11 +42,11 @@
 FORGOTTEN_S = 600.0
 """Retention time after the last crash. A request that was blamed wrongly is served again after it,
 and one that is retried all day crashes two backends per such period."""
-TELL_S = 1.0
+CRASH_GOSSIP_S = 1.0
 """How long a router reports a crash that it saw: in several datagrams, as some may be lost."""
 MAX_GOSSIPED_REQUESTS = 16
 """Requests in one datagram, those with the most crashes first: 25 bytes each."""
-MOST_ENDS = 8
+MAX_CRASHES_KEPT = 8
 """Crashes kept of one request."""
 MOST_KEPT = 2_048
 """Requests kept, 0.6 MB; those with the oldest last crash are dropped first."""
@@ -79,7 +79,7 @@
         return tuple(life for life, end in self.ends.items() if end.is_quick == is_quick)
 
 
-def life_number(instance: str) -> int:
+def incarnation_number(instance: str) -> int:
     """Return a short identifier for a backend incarnation that is the same on every router."""
     return zlib.crc32(instance.encode())
 
@@ -87,8 +87,8 @@
 class PoisonRequests:
     """Suspects by digest, from this router's own exchanges and from reports of other routers.
 
-    ``on_change`` is called whenever a request may have become quarantined, ``on_end`` when this
-    router itself saw a crash, which it should report to the others at once.
+    ``on_change`` is called whenever a request may have become quarantined, ``on_crash_detected``
+    when this router itself saw a crash, which it should report to the others at once.
     """
 
     def __init__(self, is_used: bool = True, clock: Callable[[], float] = boot_time_s) -> None:
@@ -100,23 +100,23 @@
         """Digests of the requests that were at a backend when it crashed, by incarnation number."""
         self._logged: set[int] = set()
         self.on_change: Callable[[], None] = lambda: None
-        self.on_end: Callable[[], None] = lambda: None
+        self.on_crash_detected: Callable[[], None] = lambda: None
         self.refused = 0
         """Number of requests that were not forwarded because of quarantine."""
 
     # --- Results of exchanges with backends ---
 
-    def note_end(self, digest: int, life: int, since_sent_s: float) -> None:
+    def record_crash(self, digest: int, life: int, since_sent_s: float) -> None:
         """Record that a backend closed the connection ``since_sent_s`` after a request was sent."""
         if not self._is_used:
             return
         now_s = self._clock()
         self._add(digest, life, BackendCrash(now_s, since_sent_s < IMMEDIATE_CRASH_S))
         self._suspects[digest].last_observed_s = now_s
-        self.on_end()
+        self.on_crash_detected()
         self.on_change()
 
-    def note_alive(self, life: int, sent_s: float) -> None:
+    def record_alive(self, life: int, sent_s: float) -> None:
         """Record an answer to a request sent at ``sent_s``: the backend had not crashed before.
 
         Responses to older requests prove nothing, however late they are read: they may have been
@@ -126,7 +126,7 @@
             if self._suspects[digest].ends[life].ended_s < sent_s:
                 self._remove(digest, life)
 
-    def note_sound(self, digest: int) -> None:
+    def record_harmless(self, digest: int) -> None:
         """Record that the request was answered completely, so it doesn't crash backends."""
         suspect = self._suspects.get(digest)
         if suspect is not None:
@@ -140,27 +140,27 @@
 
     def require_not_quarantined(self, digest: int) -> None:
         """Raise ``RequestQuarantined`` if the request is quarantined."""
-        left_s = self.quarantined_for_s(digest)
-        if left_s:
+        remaining_s = self.quarantined_for_s(digest)
+        if remaining_s:
             self.refused += 1
             message = "this request has crashed backends repeatedly; change it, or retry it later"
-            raise RequestQuarantined(message, left_s)
+            raise RequestQuarantined(message, remaining_s)
 
     def quarantined_for_s(self, digest: int) -> float:
         """Return the remaining quarantine of a request in seconds, 0.0 if there is none."""
         suspect = self._suspects.get(digest)
         if suspect is None or not self._is_poison(suspect):
             return 0.0
-        left_s = suspect.last_s() + FORGOTTEN_S - self._clock()
-        if left_s > 0.0 and digest not in self._logged:
+        remaining_s = suspect.last_s() + FORGOTTEN_S - self._clock()
+        if remaining_s > 0.0 and digest not in self._logged:
             self._logged.add(digest)
             _log.warning(
                 "request in quarantine",
                 digest=digest_text(digest),
                 ends=len(suspect.ends),
-                for_s=round(left_s),
+                for_s=round(remaining_s),
             )
-        return max(0.0, left_s)
+        return max(0.0, remaining_s)
 
     def _is_poison(self, suspect: Suspect) -> bool:
         attributed = self._attributed_crashes(suspect)
@@ -191,12 +191,12 @@
 
     def told(self) -> tuple[SuspectRequest, ...]:
         """Return the report for the other routers: what this one saw recently."""
-        oldest_s = self._clock() - TELL_S
+        oldest_s = self._clock() - CRASH_GOSSIP_S
         return self._gossip_records(
             s for s in self._suspects.values() if s.last_observed_s >= oldest_s
         )
 
-    def told_to_newcomer(self) -> tuple[SuspectRequest, ...]:
+    def report_for_new_router(self) -> tuple[SuspectRequest, ...]:
         """Return the report for a newly started router: all suspects with several crashes."""
         return self._gossip_records(
             s for s in self._suspects.values() if len(s.ends) >= MIN_EXCLUSIVE_CRASHES
@@ -206,7 +206,7 @@
         # Suspects about to expire are not reported: otherwise two routers would renew each other's
         # records for ever.
         now_s = self._clock()
-        fresh = [s for s in suspects if s.last_s() > now_s - FORGOTTEN_S + TELL_S]
+        fresh = [s for s in suspects if s.last_s() > now_s - FORGOTTEN_S + CRASH_GOSSIP_S]
         fresh.sort(key=lambda s: (len(s.ends), s.last_s()), reverse=True)
         return tuple(
             SuspectRequest(s.digest, s.lives(False), s.lives(True), round(now_s - s.last_s(), 3))
@@ -258,7 +258,7 @@
         suspect = self._suspects.get(digest)
         if suspect is None:
             suspect = self._suspects[digest] = Suspect(digest)
-        if life not in suspect.ends and len(suspect.ends) >= MOST_ENDS:
+        if life not in suspect.ends and len(suspect.ends) >= MAX_CRASHES_KEPT:
             self._remove(digest, min(suspect.ends, key=lambda old: suspect.ends[old].ended_s))
         suspect.ends[life] = end
         self._by_incarnation.setdefault(life, set()).add(digest)
--- a/src/yokedock/request/prefill_queue.py
+++ b/src/yokedock/request/prefill_queue.py
@@ -11,14 +11,14 @@
 import threading
 
 from yokedock.base.clock import boot_time_s
-from yokedock.errors import AttemptLost, NoPrefillRoom
-from yokedock.request.known_blocks import KnownBlocks
+from yokedock.errors import AttemptLost, NoPrefillCapacity
 from yokedock.request.prefix import (
     BLOCK_TOKENS,
     block_hashes,
     cached_prefix_blocks,
     estimate_tokens,
 )
+from yokedock.request.prefix_cache_index import PrefixCacheIndex
 
 ENGINE_QUEUE_DEPTH = 2
 """Maximum number of prefills submitted to the engine: one running and one queued, so that the
@@ -48,7 +48,7 @@
 class PrefillQueue:
     """The accepted prefills of one engine. Thread-safe."""
 
-    def __init__(self, tokens_per_s: float, known: KnownBlocks) -> None:
+    def __init__(self, tokens_per_s: float, known: PrefixCacheIndex) -> None:
         """``tokens_per_s`` is the engine's prefill speed; ``known`` tracks its cached blocks."""
         self.tokens_per_s = tokens_per_s
         self._known = known
@@ -61,7 +61,7 @@
         return max(1, estimate_tokens(prompt) - cached * BLOCK_TOKENS) / self.tokens_per_s
 
     def enter(self, attempt: str, service_s: float, finish_by_s: float) -> None:
-        """Accept a prefill, or raise ``NoPrefillRoom`` with a delay after which to retry."""
+        """Accept a prefill, or raise ``NoPrefillCapacity`` with a delay after which to retry."""
         now = boot_time_s()
         job = QueuedPrefill(attempt, service_s, finish_by_s)
         with self._changed:
@@ -74,14 +74,14 @@
                     message = (
                         "prefill not started: it or an earlier one would miss its deadline; retry"
                     )
-                    raise NoPrefillRoom(message, max(MIN_RETRY_AFTER_S, finish_s - limit_s))
+                    raise NoPrefillCapacity(message, max(MIN_RETRY_AFTER_S, finish_s - limit_s))
             self._jobs[attempt] = job
 
     def wait_turn(self, attempt: str) -> None:
         """Wait until the prefill is to be submitted to the engine.
 
-        Raises ``AttemptLost`` if it is cancelled while waiting, ``NoPrefillRoom`` if its turn comes
-        too late for its deadline.
+        Raises ``AttemptLost`` if it is cancelled while waiting, ``NoPrefillCapacity`` if its turn
+        comes too late for its deadline.
         """
         with self._changed:
             job = self._jobs[attempt]
@@ -95,7 +95,7 @@
             now = boot_time_s()
             if now + job.service_s > job.finish_by_s + LATE_TOLERANCE_S:
                 message = "prefill not started: its turn came after its latest start; retry"
-                raise NoPrefillRoom(message, MIN_RETRY_AFTER_S)
+                raise NoPrefillCapacity(message, MIN_RETRY_AFTER_S)
             job.submitted_s = now
             self._changed.notify_all()
 
--- a/src/yokedock/request/prompt_reads.py
+++ b/src/yokedock/request/prefill_tracker.py
@@ -10,7 +10,7 @@
 _log = logger("prompt")
 
 
-class PromptReads(msgspec.Struct, eq=False):
+class PrefillTracker(msgspec.Struct, eq=False):
     """Tracks the prefills of one request's prompt; only the latest can have been of use."""
 
     request: str
--- a/src/yokedock/request/known_blocks.py
+++ b/src/yokedock/request/prefix_cache_index.py
@@ -33,7 +33,7 @@
     is_complete: bool
 
 
-class KnownBlocks:
+class PrefixCacheIndex:
     """The assumed blocks and their recent changes. Thread-safe."""
 
     def __init__(self) -> None:
--- a/src/yokedock/request/prompt_homes.py
+++ b/src/yokedock/request/prompt_homes.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from yokedock.request.backend_life import Backend
+from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.version.homes import HashRing
 
@@ -45,4 +45,4 @@
         if backend is None or backend.leaving_since_s is not None:
             return False
         now_s = self._registry.now_s()
-        return not backend.health.is_suspect(now_s) and not backend.notices.is_resting(now_s)
+        return not backend.health.is_suspect(now_s) and not backend.notices.is_backing_off(now_s)
--- a/src/yokedock/request/placement_queue.py
+++ b/src/yokedock/request/queued_placement.py
@@ -16,17 +16,17 @@
 from yokedock.base.logs import logger
 from yokedock.base.randomness import new_random
 from yokedock.connection.router_state import QueueShare
-from yokedock.errors import NoDecodeRoom
+from yokedock.errors import NoDecodeCapacity
 from yokedock.request.backend_registry import BackendRegistry
+from yokedock.request.capacity_forecast import RETRY_AFTER_SPREAD, CapacityForecast, QueueAhead
 from yokedock.request.dispatch_timers import RECHECK_INTERVAL_S, DispatchTimers
 from yokedock.request.engine_choice import EngineChoice
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.engine_placement import EnginePlacement, Placement, Progress
 from yokedock.request.generation_queue import GenerationQueue
 from yokedock.request.mechanisms import ALL_ON, Mechanisms
-from yokedock.request.room_forecast import RETRY_AFTER_SPREAD, QueueAhead, RoomForecast
-from yokedock.request.room_order import TurnOrder
 from yokedock.request.routed_call import RoutedCall
+from yokedock.request.turn_order import TurnOrder
 from yokedock.request.wait_estimator import RecentArrivals, WaitEstimator
 from yokedock.request.waiter import Turn, Waiter
 
@@ -63,23 +63,23 @@
         self._engine_choice = EngineChoice(registry, ledger, mechanisms)
         self._elsewhere = elsewhere
         self._order = TurnOrder(remote_turns)
-        self._forecast = RoomForecast(ledger.turnover)
+        self._forecast = CapacityForecast(ledger.turnover)
         self._random = new_random()
         self._queues: dict[str, GenerationQueue] = {}
         self._arrivals = RecentArrivals()
         self._estimator = WaitEstimator(registry, ledger, self._forecast, elsewhere, self._arrivals)
         self._timers = DispatchTimers(self._dispatch_all, lambda: bool(self._queues))
-        ledger.on_room = self._timers.soon
+        ledger.on_capacity_freed = self._timers.dispatch_soon
 
     async def place(self, call: RoutedCall, progress: Progress) -> Placement:
-        """Place the request; raises ``NoDecodeRoom`` if no capacity is expected in time."""
+        """Place the request; raises ``NoDecodeCapacity`` if no capacity is expected in time."""
         service = call.service.name
         self._arrivals.note(service)
         waiter = self._waiter(call, progress)
         if waiter.since_s >= self.gives_up_s(call, progress):
             raise self._no_capacity_error(waiter, "the caller has already timed out")
         self._queues.setdefault(service, GenerationQueue()).add(waiter)
-        self._note_waiting(service)
+        self._report_waiting(service)
         try:
             self._dispatch(service)
             if not waiter.placed.done():
@@ -115,12 +115,12 @@
         first = queue.next_turn(now_s) if queue is not None else None
         if first is None:
             return 0
-        left_ms = max(1, round((first.until_s - now_s) * 1000))
-        return -left_ms if first.is_late else left_ms
+        remaining_ms = max(1, round((first.until_s - now_s) * 1000))
+        return -remaining_ms if first.is_late else remaining_ms
 
-    def return_after_s(self, call: RoutedCall) -> float:
+    def retry_after_s(self, call: RoutedCall) -> float:
         """Return the randomized retry delay for a caller that is refused now."""
-        return self._return_after_s(self._waiter(call, Progress()))
+        return self._retry_after_s(self._waiter(call, Progress()))
 
     # --- Individual waiters ---
 
@@ -151,7 +151,7 @@
         return min(call.deadline_s, silent_since_s + caller_timeout_s)
 
     async def _wait(self, waiter: Waiter) -> None:
-        """Wait for a placement; raises ``NoDecodeRoom`` once none is expected in time."""
+        """Wait for a placement; raises ``NoDecodeCapacity`` once none is expected in time."""
         while not waiter.placed.done():
             now_s = boot_time_s()
             if now_s >= waiter.gives_up_s:
@@ -184,7 +184,7 @@
         if not has_begun and waiter.predicted_at_s + wait_s > waiter.gives_up_s:
             raise self._no_capacity_error(waiter, f"room comes only in {wait_s:.1f} s")
 
-    def _no_capacity_error(self, waiter: Waiter, reason: str) -> NoDecodeRoom:
+    def _no_capacity_error(self, waiter: Waiter, reason: str) -> NoDecodeCapacity:
         _log.info(
             "no room",
             request=waiter.call.request_id,
@@ -194,7 +194,7 @@
             reason=reason,
         )
         message = f"{waiter.call.service.name}: {reason}; retry later"
-        return NoDecodeRoom(message, self._return_after_s(waiter))
+        return NoDecodeCapacity(message, self._retry_after_s(waiter))
 
     def _record_wait(self, waiter: Waiter, now_s: float) -> None:
         """Update the forecast with the actual wait, and log both."""
@@ -216,17 +216,17 @@
             self._ledger.on_change()
         if not queue:
             self._queues.pop(service, None)
-        self._note_waiting(service)
+        self._report_waiting(service)
         placed = waiter.placed
         is_aborted = sys.exc_info()[0] is not None
         if is_aborted and placed.done() and not placed.cancelled():
-            self._ledger.close_stream(placed.result().promise)
+            self._ledger.close_stream(placed.result().reservation)
 
     def _ahead(self, waiter: Waiter) -> QueueAhead:
         service = waiter.call.service.name
         return self._estimator.ahead(waiter, self._queues.get(service, ()))
 
-    def _return_after_s(self, waiter: Waiter) -> float:
+    def _retry_after_s(self, waiter: Waiter) -> float:
         wait_s = self._estimator.wait_s(self._ahead(waiter), waiter.call.service.name)
         return self._random.uniform(wait_s, RETRY_AFTER_SPREAD * wait_s)
 
@@ -264,7 +264,7 @@
         if placement is None:
             return False
         self._queues[waiter.call.service.name].remove(waiter)
-        self._note_waiting(waiter.call.service.name)
+        self._report_waiting(waiter.call.service.name)
         waiter.placed.set_result(placement)
         return True
 
@@ -286,9 +286,9 @@
         if wait_s is not None and wait_s < RECHECK_INTERVAL_S:
             self._timers.after(wait_s)
 
-    def _note_waiting(self, service: str) -> None:
+    def _report_waiting(self, service: str) -> None:
         """Publish the queue length, by which routers order their claims to engine permits."""
         queue = self._queues.get(service)
         first = queue.first() if queue else None
         since_s = first.since_s if first is not None else math.inf
-        self._registry.note_waiting(service, len(queue or ()), since_s)
+        self._registry.record_waiting(service, len(queue or ()), since_s)
--- a/src/yokedock/request/queues_elsewhere.py
+++ b/src/yokedock/request/remote_queues.py
@@ -48,7 +48,7 @@
             self.turns.pop(router, None)
 
 
-class QueuesElsewhere:
+class RemoteQueues:
     """The queues of all other routers, by service."""
 
     def __init__(self, own_address: str) -> None:
@@ -63,19 +63,19 @@
         Late waiters, which yield to all on-time ones, may then be placed.
         """
         before = self._services_by_router.get(router, set())
-        has_emptied = False
+        has_emptied_on_time = False
         for service in before - queues.keys():
-            has_emptied |= self._drop(router, service)
+            has_emptied_on_time |= self._drop(router, service)
         for service, share in queues.items():
             known = self._services.setdefault(service, RemoteServiceQueues())
             had_in_time = known.in_time
             known.put(router, ReportedQueue(share, self._turn(router, share, now_s)))
-            has_emptied |= had_in_time > 0 and not known.in_time
+            has_emptied_on_time |= had_in_time > 0 and not known.in_time
         if queues:
             self._services_by_router[router] = set(queues)
         else:
             self._services_by_router.pop(router, None)
-        return has_emptied
+        return has_emptied_on_time
 
     def forget(self, router: str) -> None:
         """Remove all reports of a router."""
--- a/src/yokedock/request/remote_promises.py
+++ b/src/yokedock/request/remote_reservations.py
@@ -51,7 +51,7 @@
     shares: dict[str, EngineShare]
 
 
-class RemotePromises:
+class RemoteReservations:
     """The shares of other routers and their totals by engine."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -91,7 +91,7 @@
         self._subtract(before.shares)
         return True
 
-    def drop_lapsed(self) -> bool:
+    def drop_expired(self) -> bool:
         """Remove expired reports; return whether there were any."""
         now_s = self._clock()
         if now_s <= self._next_expiry_s:
@@ -106,7 +106,7 @@
 
     def totals(self, engine: str) -> EngineTotals:
         """Return the totals of an engine; callers must not modify them."""
-        self.drop_lapsed()
+        self.drop_expired()
         return self._totals.get(engine, NO_TOTALS)
 
     def size(self) -> int:
--- a/src/yokedock/request/retry_allowance.py
+++ b/src/yokedock/request/retry_allowance.py
@@ -69,15 +69,15 @@
         """Release the unused reservation."""
         self.give_back()
 
-    def may_go_on(self, call: RoutedCall, min_left_s: float, is_arrival: bool = True) -> bool:
+    def reserve_retry(self, call: RoutedCall, min_left_s: float, uses_budget: bool = True) -> bool:
         """Return whether ``call`` may try another backend; if so, the budget for it is reserved.
 
-        At least ``min_left_s`` must be left. ``is_arrival``: the last attempt reached a backend, so
-        the next one uses budget.
+        At least ``min_left_s`` must be left. ``uses_budget``: the last attempt reached a backend,
+        so the next one uses budget.
         """
-        if call.left_s() < min_left_s or not call.may_run_again():
+        if call.remaining_s() < min_left_s or not call.may_run_again():
             return False
-        return not is_arrival or self.set_aside(1)
+        return not uses_budget or self.set_aside(1)
 
     def set_aside(self, arrivals: int) -> bool:
         """Reserve exactly ``arrivals`` further arrivals; return whether the budget suffices.
@@ -93,7 +93,7 @@
         self._set_aside = arrivals
         return True
 
-    def note_arrival(self) -> None:
+    def record_arrival(self) -> None:
         """Count a further arrival that is made now, using the reservation."""
         if self._set_aside:
             self._set_aside -= 1
@@ -102,7 +102,7 @@
             _log.warning(
                 "retry without reserved budget", request=self._request_id, service=self._service
             )
-        self._allowance.note_extra(self._service)
+        self._allowance.record_extra(self._service)
 
     def give_back(self) -> None:
         """Release the reservation."""
@@ -158,7 +158,7 @@
         """Count a request of a caller."""
         self.counts(service).requests.append(self._clock())
 
-    def note_extra(self, service: str) -> None:
+    def record_extra(self, service: str) -> None:
         """Count an arrival beyond the first of a request."""
         self._made += 1
         self.counts(service).extras.append(self._clock())
--- a/src/yokedock/request/role_plan.py
+++ b/src/yokedock/request/role_plan.py
@@ -26,21 +26,21 @@
     role: str
 
 
-def wanted_prefills(engines: int) -> int:
+def target_prefill_engines(engines: int) -> int:
     """Return the number of prefill engines among ``engines`` engines."""
     if engines < 2:
         return 0
     return max(1, round(PREFILL_SHARE * engines))
 
 
-def wanted_changes(
+def planned_role_changes(
     engines: list[EngineRole], prefill: str, decode: str, most: int
 ) -> list[RoleChange]:
     """Return up to ``most`` role changes to make next, least loaded engines first.
 
     At least one engine keeps the decode role.
     """
-    wanted = wanted_prefills(len(engines))
+    wanted = target_prefill_engines(len(engines))
     reading = [engine for engine in engines if engine.role == prefill]
     making = [engine for engine in engines if engine.role == decode]
     surplus = len(reading) - wanted
--- a/src/yokedock/request/routed_call.py
+++ b/src/yokedock/request/routed_call.py
@@ -19,7 +19,7 @@
 from yokedock.version.route_table import Route, ServiceSpec
 
 MIN_DEADLINE_MS = 1
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 CUT_SHORT = "cut_short"
 """Outcome of an exchange that the router ended: the caller disconnected or time ran out."""
 NOT_SENT = "not_sent"
@@ -41,12 +41,12 @@
     arrivals: int = 0
     """Requests sent to backends, including rejected ones."""
     may_have_run: bool = False
-    heard_after_s: float = 0.0
+    min_last_receive_s: float = 0.0
     """Idle connections are reused only if they received data after this (boot time, s)."""
     visits: list[BackendVisit] = []
-    first_piece_s: float | None = None
+    first_event_s: float | None = None
     """When the first event of a stream was sent to the caller (boot time, s)."""
-    longest_pause_s: float = 0.0
+    max_event_gap_s: float = 0.0
     cached_digest: int | None = None
     """Cached value of ``digest``."""
 
@@ -86,7 +86,7 @@
 
     def ms_since_arrival(self) -> int:
         """Return the time since the arrival, in milliseconds."""
-        return round((boot_time_s() - self.arrived_s) * MS_A_SECOND)
+        return round((boot_time_s() - self.arrived_s) * MS_PER_SECOND)
 
     @contextlib.contextmanager
     def visit(self, backend: str, zone: str, role: str) -> Iterator[BackendVisit]:
@@ -107,12 +107,12 @@
 
     def is_late(self) -> bool:
         """Return whether a response that completes now misses the route's latency targets."""
-        answered_s = self.first_piece_s or boot_time_s()
+        answered_s = self.first_event_s or boot_time_s()
         is_late = answered_s > self.target_s and self.route.target_s > 0
         gap_target_s = self.route.gap_target_s
-        return is_late or 0 < gap_target_s < self.longest_pause_s
+        return is_late or 0 < gap_target_s < self.max_event_gap_s
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Return the seconds until the deadline, at least 0."""
         return max(0.0, self.deadline_s - boot_time_s())
 
@@ -122,12 +122,12 @@
         It is counted to the caller's deadline if one was given, else to the route's time-out.
         """
         if self.terms.deadline_s is None:
-            return max(MIN_DEADLINE_MS, int(self.left_s() * 1000))
-        left_s = self.arrived_s + self.terms.deadline_s - boot_time_s()
-        return max(MIN_DEADLINE_MS, int(left_s * 1000))
+            return max(MIN_DEADLINE_MS, int(self.remaining_s() * 1000))
+        remaining_s = self.arrived_s + self.terms.deadline_s - boot_time_s()
+        return max(MIN_DEADLINE_MS, int(remaining_s * 1000))
 
     @contextlib.contextmanager
-    def one_run(self) -> Iterator[None]:
+    def track_run(self) -> Iterator[None]:
         """Count an attempt as possibly run, unless the backend reports that it did not run it."""
         may_have_run_before = self.may_have_run
         self.may_have_run = True
@@ -146,7 +146,7 @@
         return self.route.may_repeat or not self.may_have_run
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
+class BufferedAnswer(msgspec.Struct, frozen=True):
     """A complete, buffered response."""
 
     head: AnswerHead
--- a/src/yokedock/request/service_backend.py
+++ b/src/yokedock/request/service_backend.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from yokedock.base.clock import deadline_in, left_s, wall_clock_ms
+from yokedock.base.clock import deadline_in, remaining_s, wall_clock_ms
 from yokedock.connection.service_client import ServiceClient
 from yokedock.errors import (
     BadRequest,
@@ -33,7 +33,7 @@
     TombstoneSet,
 )
 from yokedock.request.backend import Backend, OrderGuard, SendFrame
-from yokedock.request.idempotency import IdempotencyRecord, KeyRecord, KeyState, RecordLimits
+from yokedock.request.idempotency import IdempotencyStore, KeyRecord, KeyState, RecordLimits
 from yokedock.version.bundle import Bundle, Service
 
 ROLE_SERVICE = "service"
@@ -59,7 +59,7 @@
         self,
         name: str,
         client: ServiceClient,
-        record: IdempotencyRecord,
+        record: IdempotencyStore,
         bundle: Callable[[], Bundle],
         home_check: HomeCheck,
     ) -> None:
@@ -175,18 +175,18 @@
 
     def _replay(self, record: KeyRecord, deadline_s: float) -> ServiceAnswer:
         try:
-            answer = record.finished.result(timeout=left_s(deadline_s))
+            answer = record.finished.result(timeout=remaining_s(deadline_s))
         except TimeoutError:
             message = "the call is still running; retry with the same key"
             raise OutcomeUnknown(message, 1.0) from None
         return ServiceAnswer(answer.status, answer.content_type, answer.body, replayed=True)
 
     def _send(self, order: ServiceCall, deadline_s: float) -> ServiceAnswer:
-        if left_s(deadline_s) <= 0:
+        if remaining_s(deadline_s) <= 0:
             raise NotRun("the deadline passed before the call was sent to the service; retry")
         try:
             return self._client.call(
-                order.service, order.body, order.content_type, order.key, left_s(deadline_s)
+                order.service, order.body, order.content_type, order.key, remaining_s(deadline_s)
             )
         except EngineUnavailable as error:
             raise NotRun(f"{error.message}; nothing was run, retry later", 1.0) from None
--- a/src/yokedock/request/service_request.py
+++ b/src/yokedock/request/service_request.py
@@ -133,7 +133,7 @@
         A retry with the same key is safe, since the home runs each key at most once.
         """
         context.check()
-        if context.left_ms() / 1000 > OUTCOME_CHECK_RESERVE_S + RETRY_S:
+        if context.remaining_ms() / 1000 > OUTCOME_CHECK_RESERVE_S + RETRY_S:
             time.sleep(RETRY_S)
             return
         self._resolve_outcome(peer, order)
@@ -161,10 +161,10 @@
                 order.key,
                 order.body,
                 order.content_type,
-                context.left_ms(),
+                context.remaining_ms(),
             )
             try:
-                answer = context.wait(peer.call(message, attempt), context.left_ms() / 1000)
+                answer = context.wait(peer.call(message, attempt), context.remaining_ms() / 1000)
             except (StaleVersion, NotReady):
                 context.check()
                 time.sleep(RETRY_S)
--- a/src/yokedock/request/shared_rate.py
+++ b/src/yokedock/request/shared_rate.py
@@ -23,7 +23,7 @@
 """Waits that began within this time of each other are tied; the router address decides."""
 BURST_S = 0.25
 """Permits may accumulate for this long, but at least one. Exceeds the steps of a large fleet."""
-LEAST_PER_S = 0.1
+MIN_RATE_PER_S = 0.1
 """A backend with a lower limit still gets this rate, since otherwise no response would report that
 the limit has ended."""
 BASELINE_WINDOW_S = 1.0
@@ -66,7 +66,7 @@
 
     # --- The limit ---
 
-    def note_answer(self, limit_per_s: float | None, sent_s: float, now_s: float) -> bool:
+    def record_answer(self, limit_per_s: float | None, sent_s: float, now_s: float) -> bool:
         """Apply the limit stated in a response; return whether that changes the limit.
 
         The request was sent at ``sent_s``. Responses can overtake each other: one to a request that
@@ -172,7 +172,7 @@
     # --- The token bucket ---
 
     def _rate(self) -> float:
-        return max(self.per_s or 0.0, LEAST_PER_S)
+        return max(self.per_s or 0.0, MIN_RATE_PER_S)
 
     def _most(self) -> float:
         """Return the maximum number of accumulated permits."""
--- a/src/yokedock/request/stream_watch.py
+++ b/src/yokedock/request/silence_detector.py
@@ -17,8 +17,8 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.base.ordered_set import OrderedSet
-from yokedock.base.patience import Patience
-from yokedock.request.backend_life import Backend
+from yokedock.base.read_first_timeout import ReadFirstTimeout
+from yokedock.request.backend_incarnation import Backend
 from yokedock.router_errors import BackendSilent
 
 _log = logger("streams")
@@ -27,10 +27,10 @@
 PROCESS_STALL_S = 0.3
 """A check delayed by this much means that this process itself was stalled; silence is then measured
 from that check on."""
-DARK_S = 0.45
+ENGINE_SILENCE_S = 0.45
 """An engine whose streams are all silent for this long is avoided for a while, and requests that
 have not started there are sent to another engine."""
-LOST_S = 0.8
+MOVE_SILENCE_S = 0.8
 """After this time of silence, resumable streams are moved to another engine too."""
 RECENT_ACTIVITY_SHARE = 0.5
 """If another stream of the engine had data within this last share of a stalled stream's timeout,
@@ -50,13 +50,13 @@
     stalled: Callable[[WatchedStream, float], None]
     """Called with the stream and its timeout (s) when a wait has timed out."""
     has_begun: bool = False
-    limit: Patience | None = None
+    limit: ReadFirstTimeout | None = None
     """Timeout of the current wait, None while nothing is awaited."""
 
     async def within(self, patience_s: float, awaited: Awaitable[Result]) -> Result:
         """Wait for ``awaited``; raises ``BackendSilent`` if it takes too long."""
         try:
-            async with Patience(patience_s) as self.limit:
+            async with ReadFirstTimeout(patience_s) as self.limit:
                 return await awaited
         except TimeoutError:
             self.stalled(self, patience_s)
@@ -70,7 +70,7 @@
             self.limit.reschedule(asyncio.get_running_loop().time())
 
 
-class StreamWatch:
+class SilenceDetector:
     """Monitors all streams of this process."""
 
     def __init__(self, clock: Callable[[], float] = boot_time_s, is_used: bool = True) -> None:
@@ -110,7 +110,7 @@
         self._last_check_s = now_s
         for engine in {s.engine for s in self._streams if s.has_begun}:
             silent_s = now_s - self._heard_s[engine.name]
-            if silent_s >= DARK_S:
+            if silent_s >= ENGINE_SILENCE_S:
                 self._mark_silent(engine, silent_s, now_s)
 
     def _on_stall(self, stream: WatchedStream, silent_s: float) -> None:
@@ -122,14 +122,14 @@
                 "stream stalled, but other streams of the engine are active", engine=engine.name
             )
             return
-        engine.health.note_silence(now_s)
+        engine.health.record_silence(now_s)
 
     def _mark_silent(self, engine: Backend, silent_s: float, now_s: float) -> None:
         if not engine.health.is_suspect(now_s):
             _log.info("engine silent", engine=engine.name, silent_ms=round(silent_s * 1000))
-        engine.health.note_silence(now_s)
+        engine.health.record_silence(now_s)
         for stream in [s for s in self._streams if s.engine is engine]:
-            if silent_s >= LOST_S or not stream.has_begun:
+            if silent_s >= MOVE_SILENCE_S or not stream.has_begun:
                 stream.give_up()
 
     def _schedule_check(self) -> None:
--- a/src/yokedock/request/slots.py
+++ b/src/yokedock/request/slots.py
@@ -19,7 +19,7 @@
 import threading
 
 from yokedock.base.clock import boot_time_s
-from yokedock.errors import AttemptLost, NoDecodeRoom
+from yokedock.errors import AttemptLost, NoDecodeCapacity
 from yokedock.request.arrival_rates import ArrivalRates
 
 STEP_SMOOTHING = 0.1
@@ -64,8 +64,8 @@
     def reserve(self, entry: SlotEntry) -> float:
         """Reserve a slot by ``entry.latest_s``; return when one is expected to be free.
 
-        Raises ``NoDecodeRoom`` if none will be free in time, or if another reservation would become
-        late. A second call for the same attempt extends its reservation.
+        Raises ``NoDecodeCapacity`` if none will be free in time, or if another reservation would
+        become late. A second call for the same attempt extends its reservation.
         """
         now = boot_time_s()
         with self._lock:
@@ -75,11 +75,11 @@
                 known.expires_s = max(known.expires_s, entry.expires_s)
                 return now
             self._rates.arrived(entry.priority, entry.tokens_left, now)
-            starts = self.expected_starts(now, entry, self._headroom(entry, now))
+            starts = self.simulate_starts(now, entry, self._headroom(entry, now))
             late_s = starts[entry.attempt] - max(now, entry.latest_s)
             if late_s > 0 or self._delays_reservation(now, starts):
                 message = "no decode slot becomes free in time; retry later"
-                raise NoDecodeRoom(message, max(MIN_RETRY_AFTER_S, late_s))
+                raise NoDecodeCapacity(message, max(MIN_RETRY_AFTER_S, late_s))
             self._entries[entry.attempt] = entry
             return starts[entry.attempt]
 
@@ -92,14 +92,14 @@
                 raise AttemptLost("the reservation has expired; reserve again")
             entry.is_running = True
 
-    def progressed(self, attempt: str, tokens: int) -> None:
+    def add_tokens(self, attempt: str, tokens: int) -> None:
         """Record that a running stream produced ``tokens`` more tokens."""
         entry = self._entries.get(attempt)
         if entry is not None:
             entry.tokens_left = max(0, entry.tokens_left - tokens)
             entry.is_in_batch = True
 
-    def step_took(self, seconds: float) -> None:
+    def add_step_time(self, seconds: float) -> None:
         """Add a measured step time to the moving average."""
         self._step_s += (seconds - self._step_s) * STEP_SMOOTHING
 
@@ -124,7 +124,7 @@
         most = int(self.slots * MAX_HEADROOM_SHARE)
         return min(most, round(urgent.per_s * HEADROOM_WINDOW_S * share))
 
-    def expected_starts(
+    def simulate_starts(
         self, now: float, asking: SlotEntry | None = None, headroom: int = 0
     ) -> dict[str, float]:
         """Simulate the use of the slots; return when each attempt without a slot gets one.
@@ -152,7 +152,7 @@
 
     def _delays_reservation(self, now: float, starts: dict[str, float]) -> bool:
         """Return whether a new reservation makes an existing one late that was in time before."""
-        before = self.expected_starts(now)
+        before = self.simulate_starts(now)
         return any(
             starts[attempt] > self._entries[attempt].latest_s >= start_s
             for attempt, start_s in before.items()
--- a/src/yokedock/request/stream_turnover.py
+++ b/src/yokedock/request/stream_duration.py
@@ -10,7 +10,7 @@
 """Shorter streams were aborted or refused and are not representative of the others."""
 
 
-class StreamTurnover:
+class StreamDuration:
     """Moving average of the time for which streams hold their capacity."""
 
     def __init__(self) -> None:
--- a/src/yokedock/request/opaque_call.py
+++ b/src/yokedock/request/unary_call.py
@@ -19,14 +19,14 @@
 from yokedock.request.backend_exchange import SERVER_ERROR, BackendExchanges
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.call_attempt import (
-    LEAST_USEFUL_S,
+    MIN_ATTEMPT_TIME_S,
     AttemptRunner,
     CallAttempts,
     ChosenBackend,
 )
 from yokedock.request.call_queue import CallQueue, WaitingCall
 from yokedock.request.retry_allowance import RequestRetries, RetryAllowance
-from yokedock.request.routed_call import RoutedCall, WholeAnswer
+from yokedock.request.routed_call import BufferedAnswer, RoutedCall
 from yokedock.request.service_supply import ServiceSupply
 from yokedock.router_errors import (
     BackendAnswerLost,
@@ -59,7 +59,7 @@
     """When a call last found no backend."""
 
 
-class OpaqueCalls:
+class UnaryCalls:
     """Serves calls to services without model engines, with retries and a queue per service."""
 
     def __init__(
@@ -84,13 +84,13 @@
             answer = await self._serve(call, retries)
         await call.answer.whole(answer.head, answer.body)
 
-    async def _serve(self, call: RoutedCall, retries: RequestRetries) -> WholeAnswer:
+    async def _serve(self, call: RoutedCall, retries: RequestRetries) -> BufferedAnswer:
         """Try backends until one responds.
 
         A server error is returned only if no retry is allowed or none gets a response.
         """
         attempts = CallAttempts()
-        kept: WholeAnswer | None = None
+        kept: BufferedAnswer | None = None
         while True:
             try:
                 chosen = attempts.take_reserved()
@@ -99,14 +99,14 @@
                 answer = await self._attempt_runner.run(call, chosen, attempts, retries)
                 self._outages.pop(call.service.name, None)
             except BackendUnreachable as error:
-                is_over = not retries.may_go_on(call, LEAST_USEFUL_S, is_arrival=False)
+                is_over = not retries.reserve_retry(call, MIN_ATTEMPT_TIME_S, uses_budget=False)
                 if is_over or not await self._may_reconnect(call, attempts.tried):
-                    raise self._final(call, error) from None
+                    raise self._final_error(call, error) from None
                 continue
             except RequestQuarantined as error:
                 if kept is not None:
                     return kept
-                raise self._final(call, error) from None
+                raise self._final_error(call, error) from None
             except (BackendRefused, BackendBroken, NoBackend) as error:
                 is_last = isinstance(error, NoBackend) or (
                     isinstance(error, BackendRefused)
@@ -114,17 +114,19 @@
                 )
                 # A reserved retry has been charged to the budget already. Checking the budget again
                 # would deny it if this router's share has shrunk since.
-                is_reserved = attempts.reserved is not None and call.left_s() >= LEAST_USEFUL_S
-                if is_last or not (is_reserved or retries.may_go_on(call, LEAST_USEFUL_S)):
+                is_reserved = (
+                    attempts.reserved is not None and call.remaining_s() >= MIN_ATTEMPT_TIME_S
+                )
+                if is_last or not (is_reserved or retries.reserve_retry(call, MIN_ATTEMPT_TIME_S)):
                     if kept is not None:
                         return kept
-                    raise self._final(call, error) from None
+                    raise self._final_error(call, error) from None
                 _log.info("retry", request=call.request_id, reason=error.message)
                 continue
             if answer.head.status < SERVER_ERROR:
                 return answer
             kept = answer
-            if not retries.may_go_on(call, LEAST_USEFUL_S):
+            if not retries.reserve_retry(call, MIN_ATTEMPT_TIME_S):
                 return kept
             _log.info("retry", request=call.request_id, reason=f"status {answer.head.status}")
 
@@ -136,8 +138,8 @@
         name = call.service.name
         if name not in self._queues and (chosen := self._choose(name, tried)) is not None:
             return chosen
-        queue = self._queues.setdefault(name, CallQueue(lambda q: self._note_waiting(name, q)))
-        with queue.place(call.target_s, boot_time_s() + call.left_s()) as place:
+        queue = self._queues.setdefault(name, CallQueue(lambda q: self._report_waiting(name, q)))
+        with queue.place(call.target_s, boot_time_s() + call.remaining_s()) as place:
             self._reject_late_calls(name, [(queue.before(place), place)])
             while True:
                 is_first = queue.is_first(place)
@@ -159,7 +161,7 @@
         elsewhere = self._registry.waiting_elsewhere(service)
         typical_s = self._registry.typical_latency_s(service)
         for before, place in places:
-            wait_s = supply.wait_s(before + place.ahead_elsewhere(elsewhere))
+            wait_s = supply.wait_s(before + place.remote_ahead(elsewhere))
             if not _should_keep_waiting(place, wait_s, typical_s, supply):
                 reason = f"accept no request for {wait_s:.1f} s" if wait_s else "are unavailable"
                 place.refuse(NoBackend(f"all backends of {service} {reason}; retry later"))
@@ -171,13 +173,13 @@
             return None
         return ChosenBackend(backend, backend.limit.take(boot_time_s()))
 
-    def _note_waiting(self, service: str, queue: CallQueue) -> None:
+    def _report_waiting(self, service: str, queue: CallQueue) -> None:
         """Publish the number of waiting calls and the start of the wait.
 
         The routers take a backend's permits in an order that depends on them.
         """
         since_s = queue.since_s() if len(queue) else math.inf
-        self._registry.note_waiting(service, len(queue), since_s)
+        self._registry.record_waiting(service, len(queue), since_s)
         if not len(queue):
             self._queues.pop(service, None)
 
@@ -205,7 +207,7 @@
         usable = self._registry.usable(call.service.name)
         return any(backend.name not in tried for backend in usable)
 
-    def _return_after_s(self, service: str) -> float:
+    def _retry_after_s(self, service: str) -> float:
         """Return the retry-after time for a caller that got no backend.
 
         It follows from the backends' announced pauses and rate limits where those explain the wait.
@@ -225,14 +227,14 @@
         )
         return expected_s * self._random.uniform(1.0, RETRY_AFTER_JITTER)
 
-    def _final(self, call: RoutedCall, error: YokedockError) -> YokedockError:
+    def _final_error(self, call: RoutedCall, error: YokedockError) -> YokedockError:
         """Return the error for the caller; it says "not run" only if that is certain."""
         if not call.may_have_run:
             if isinstance(error, RequestQuarantined):
                 return error
             message = f"{error.message}; the request was not run, retry later"
-            return NoBackend(message, self._return_after_s(call.service.name))
-        if call.left_s() <= 0:
+            return NoBackend(message, self._retry_after_s(call.service.name))
+        if call.remaining_s() <= 0:
             return DeadlineExceeded(
                 "no response before the deadline and the request may have run; check its result"
             )
@@ -251,6 +253,6 @@
     slightly late response serves the caller better than a rejection after a wait.
     """
     now_s = boot_time_s()
-    if place.is_settled and supply.moves_in_order:
+    if place.is_settled and supply.is_served_in_order:
         return now_s + wait_s < place.deadline_s
     return now_s + wait_s + typical_s < place.target_s
--- a/src/yokedock/request/wait_estimator.py
+++ b/src/yokedock/request/wait_estimator.py
@@ -8,9 +8,9 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.connection.router_state import QueueShare
 from yokedock.request.backend_registry import BackendRegistry
+from yokedock.request.capacity_forecast import CapacityForecast, QueueAhead
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.engine_placement import DECODE_ROLE
-from yokedock.request.room_forecast import QueueAhead, RoomForecast
 from yokedock.request.waiter import Waiter
 
 ARRIVALS_WINDOW_S = 2.0
@@ -52,7 +52,7 @@
         self,
         registry: BackendRegistry,
         ledger: EngineLedger,
-        forecast: RoomForecast,
+        forecast: CapacityForecast,
         elsewhere: Callable[[str], QueueShare],
         arrivals: RecentArrivals,
     ) -> None:
@@ -69,7 +69,7 @@
         It is no shorter than the engines' remaining rest period, and, if all of them have announced
         a rate limit, than the time those limits need to admit the waiters ahead.
         """
-        rest_s = self._registry.rest_left_s(service, DECODE_ROLE)
+        rest_s = self._registry.unavailable_for_s(service, DECODE_ROLE)
         wait_s = max(rest_s, self._forecast.wait_s(ahead))
         granted_per_s = self._registry.granted_per_s(service, DECODE_ROLE)
         if granted_per_s:
--- a/src/yokedock/router_errors.py
+++ b/src/yokedock/router_errors.py
@@ -32,7 +32,7 @@
     code = "backend_unreachable"
 
 
-class BackendUnwilling(BackendUnreachable):
+class BackendNotAccepting(BackendUnreachable):
     """The backend leaves, or has asked for rest, since it was chosen: nothing was sent."""
 
     code = "backend_unwilling"
--- a/src/yokedock/version/role_ladder.py
+++ b/src/yokedock/version/role_ladder.py
@@ -45,7 +45,7 @@
     )
 
 
-def wanted_role(position: LadderPosition, prefill_share: float, present: str) -> str:
+def desired_role(position: LadderPosition, prefill_share: float, present: str) -> str:
     """Return the role of an engine, given the prefill share (0 to 1) of the total demand.
 
     The engine of rank k takes the prefill role if the share corresponds to more than
--- a/src/yokedock_emulator/decision_cost.py
+++ b/src/yokedock_emulator/decision_cost.py
@@ -26,7 +26,7 @@
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import DECODE_ROLE, PREFILL_ROLE, Progress
 from yokedock.request.mechanisms import Mechanisms
-from yokedock.request.placement_queue import QueuedPlacement
+from yokedock.request.queued_placement import QueuedPlacement
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
 from yokedock.request.routed_call import RoutedCall
 from yokedock.version.route_table import EngineTraits, Route, RouteKind, ServiceSpec, WeightedTarget
@@ -49,7 +49,7 @@
 LOOKS = 10
 LOOK_PAUSE_S = 0.005
 """Longer than the queue gathers news of room."""
-MS_A_SECOND = 1000.0
+MS_PER_SECOND = 1000.0
 SEED = 7
 
 
@@ -171,7 +171,7 @@
     while (spent_s := time.process_time() - began_s) < BUDGET_S or not count:
         decide()
         count += 1
-    return spent_s / count * MS_A_SECOND
+    return spent_s / count * MS_PER_SECOND
 
 
 def _placement_ms(shape: FleetShape) -> float:
@@ -182,7 +182,7 @@
     def place() -> None:
         placement = choice.choose(call, Progress())
         assert placement is not None
-        fleet.ledger.close_stream(placement.promise)
+        fleet.ledger.close_stream(placement.reservation)
 
     # What others told lapses after two seconds: the figure is taken before that.
     return _mean_ms(place)
@@ -213,7 +213,7 @@
     for task in waiting:
         task.cancel()
     await asyncio.gather(*waiting, return_exceptions=True)
-    return spent_s / LOOKS * MS_A_SECOND
+    return spent_s / LOOKS * MS_PER_SECOND
 
 
 def _heard_ms(shape: FleetShape) -> float:
--- a/src/yokedock_emulator/long_run.py
+++ b/src/yokedock_emulator/long_run.py
@@ -35,7 +35,7 @@
 MOST_A_CONNECTION = 40
 STARTED_LIMIT_S = 20.0
 POLL_S = 0.05
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 MB = 1_000_000
 
 
@@ -194,7 +194,7 @@
             await asyncio.sleep(0)
             return False
         status, _ = await exchange.read()
-        held_ms = (boot_time_s() - started_s) * MS_A_SECOND
+        held_ms = (boot_time_s() - started_s) * MS_PER_SECOND
         self._held_ms.append(held_ms)
         self._answers[f"{kind} {status}"] += 1
         if status != EXPECTED[kind]:
--- a/src/yokedock_emulator/open_loop.py
+++ b/src/yokedock_emulator/open_loop.py
@@ -93,8 +93,8 @@
         next_progress_s = started_s + PROGRESS_S
         for number, arrival in enumerate(arrivals):
             due_s = started_s + arrival.at_s
-            while (left_s := due_s - boot_time_s()) > 0:
-                self._poll(min(left_s, 0.02))
+            while (remaining_s := due_s - boot_time_s()) > 0:
+                self._poll(min(remaining_s, 0.02))
             self.results.append(self._send(arrival, self._address(number)))
             if boot_time_s() > next_progress_s:
                 next_progress_s += PROGRESS_S
--- a/src/yokedock_emulator/platform.py
+++ b/src/yokedock_emulator/platform.py
@@ -142,10 +142,10 @@
                 raise PlatformUnavailable("the configuration service is down")
             values = self._stale_values if self._outage.stale else self._values
             value = values.get(key)
-            left_s = give_up_s - boot_time_s()
-            if left_s <= 0 or (value is not None and value.revision > after):
+            remaining_s = give_up_s - boot_time_s()
+            if remaining_s <= 0 or (value is not None and value.revision > after):
                 return value
-            self._changed.wait(left_s)
+            self._changed.wait(remaining_s)
 
     def _publish(self, request: HttpRequest) -> HttpResponse:
         value = request.json(PublishedValue)
--- a/src/yokedock_emulator/router_soak/soak_backend.py
+++ b/src/yokedock_emulator/router_soak/soak_backend.py
@@ -141,7 +141,7 @@
             request.body,
             boot_time_s(),
             is_prefill,
-            backend_life=self.life,
+            backend_incarnation=self.life,
             says_leaving=self.is_leaving,
             names_limit=bool(self._limit) and self._limit not in ODD_LIMITS,
         )
--- a/src/yokedock_emulator/router_soak/soak_notices.py
+++ b/src/yokedock_emulator/router_soak/soak_notices.py
@@ -62,7 +62,7 @@
     for arrival in sorted(history.arrivals, key=lambda each: each.at_s):
         record = history.records.get(arrival.request_id)
         if record is not None and arrival.outcome != "misdirected":
-            visits[arrival.backend_life, (record.router, record.life)].append(arrival)
+            visits[arrival.backend_incarnation, (record.router, record.life)].append(arrival)
     return visits
 
 
--- a/src/yokedock_emulator/router_soak/soak_records.py
+++ b/src/yokedock_emulator/router_soak/soak_records.py
@@ -104,7 +104,7 @@
     ``broken`` (the backend ended or was killed, or the connection did)."""
     is_own_end: bool = False
     """The backend itself broke off."""
-    backend_life: int = 0
+    backend_incarnation: int = 0
     """Tells lives of backends apart: one may start anew under its identifier."""
     says_leaving: bool = False
     """The answer says that the backend leaves."""
--- a/src/yokedock_emulator/simulation/event_loop.py
+++ b/src/yokedock_emulator/simulation/event_loop.py
@@ -23,7 +23,7 @@
 """Start time of each simulation, in seconds of its clock."""
 EPOCH_MS = 1_900_000_000_000
 """Wall-clock time at second 0 of the clock, in milliseconds since 1970."""
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 CLOCK_RESOLUTION_S = 1e-9
 MIN_ITERATION_S = 2e-6
 """Minimum time by which an iteration advances the clock, so that polling code makes progress."""
@@ -228,4 +228,4 @@
 
     def wall_clock_ms(self) -> int:
         """Return the simulated wall-clock time in milliseconds since 1970."""
-        return EPOCH_MS + round(self._loop.time() * MS_A_SECOND)
+        return EPOCH_MS + round(self._loop.time() * MS_PER_SECOND)
--- a/src/yokedock_emulator/simulation/simulated_routers.py
+++ b/src/yokedock_emulator/simulation/simulated_routers.py
@@ -33,7 +33,7 @@
 STARTUP_S = 0.4
 """Time between the start of a process and the start of its program."""
 PORTS = [7000, 7001, 7002]
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 
 
 class SimulatedRouter:
@@ -127,7 +127,7 @@
         process = current_process()
         if process is None or not process.is_alive:
             return
-        time_s = wall_clock_ms() / MS_A_SECOND
+        time_s = wall_clock_ms() / MS_PER_SECOND
         record.time = datetime.datetime.fromtimestamp(time_s, datetime.UTC).replace(tzinfo=None)
         self._files[process.address].write(json_line(record) + b"\n")
 
@@ -147,7 +147,7 @@
         FleetSettings(
             f"{fields['ipAddress']}:{port}",
             tuple(fields["seedNodes"]),
-            bounds["leaseMs"] / MS_A_SECOND,
+            bounds["leaseMs"] / MS_PER_SECOND,
             fields["bootstrap"],
         ),
         StateSettings(fields["platform"]["address"]),
--- a/src/yokedock_emulator/simulation/streams.py
+++ b/src/yokedock_emulator/simulation/streams.py
@@ -26,7 +26,7 @@
 RETRANSMISSION_S = 0.2
 """Interval at which a segment is retransmitted on a cut link."""
 HIGH_WATER_BYTES = 65_536
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 LINGER = struct.Struct("ii")
 
 
@@ -59,7 +59,7 @@
             is_on, seconds = LINGER.unpack(value)
             self.resets_on_close = bool(is_on) and seconds == 0
         if level == socket.IPPROTO_TCP and option == socket.TCP_USER_TIMEOUT:
-            self.unsent_limit_s = value / MS_A_SECOND
+            self.unsent_limit_s = value / MS_PER_SECOND
 
     def getsockopt(self, level: int, option: int, length: int = 0) -> bytes:
         """Return the state of the connection, the first byte of ``TCP_INFO``."""
--- a/src/yokedock_emulator/state_store.py
+++ b/src/yokedock_emulator/state_store.py
@@ -28,7 +28,7 @@
 )
 from yokedock_emulator.plain_http import PlainRequest, listen, read_request, whole_answer
 
-MS_A_SECOND = 1000
+MS_PER_SECOND = 1000
 ERA_HEADER = "Store-Era"
 
 
@@ -159,7 +159,7 @@
             return OK, RangePage(tuple(self._items.values()), more=False, at=self._revision)
         if url.path == WATCH_PATH:
             query = parse_qs(url.query)
-            wait_s = int(query[WAIT_FIELD][0]) / MS_A_SECOND
+            wait_s = int(query[WAIT_FIELD][0]) / MS_PER_SECOND
             return await self._watch(int(query["after"][0]), wait_s)
         return OK, None
 
--- a/src/yokedock_emulator/stream_load.py
+++ b/src/yokedock_emulator/stream_load.py
@@ -97,8 +97,8 @@
         self._selector.register(connection, selectors.EVENT_READ)
 
     def _poll_until(self, end_s: float) -> None:
-        while (left_s := end_s - boot_time_s()) > 0:
-            self._poll(min(left_s, 0.05))
+        while (remaining_s := end_s - boot_time_s()) > 0:
+            self._poll(min(remaining_s, 0.05))
 
     def _poll(self, timeout_s: float) -> None:
         for key, _ in self._selector.select(timeout_s):
