--- a/src/yokedock/errors.py
+++ b/src/yokedock/errors.py
@@ -1,7 +1,7 @@
-"""Every typed error of the system.
+"""Typed errors shared by all processes.
 
-Each error carries a stable code, a message that names the remedy, the HTTP status a caller sees
-and the outcome of the run. Codes are part of the public interface: they are never reused.
+Each error has a stable code, a message that states the remedy, the HTTP status returned to the
+client and the outcome of the request. Codes are part of the public API and are never reused.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What is known about the execution of a request."""
+    """Whether the request was executed, as far as is known."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -22,7 +22,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The JSON form of an error, as callers see it."""
+    """The JSON representation of an error that is returned to the client."""
 
     code: str
     message: str
@@ -32,19 +32,19 @@
 
 
 class ErrorResponse(msgspec.Struct, frozen=True):
-    """The JSON document around an error, in the OpenAI form."""
+    """The JSON document that wraps an error, in the OpenAI format."""
 
     error: ErrorBody
 
 
-_BY_CODE: dict[str, type[YokedockError]] = {}
+_TYPES_BY_CODE: dict[str, type[YokedockError]] = {}
 
 
 class YokedockError(Exception):
-    """Base of all typed errors.
+    """Base class of all typed errors.
 
-    Class attributes: ``code`` is stable, ``http_status`` is what callers see, ``outcome`` says
-    whether the request ran.
+    Class attributes: ``code`` is the stable error code, ``http_status`` the status returned to the
+    client, and ``outcome`` states whether the request was executed.
     """
 
     code = "internal_error"
@@ -52,26 +52,26 @@
     outcome = Outcome.UNKNOWN
 
     def __init_subclass__(cls) -> None:
-        """Add a kind with a code of its own to the table of codes."""
+        """Register a subclass that defines its own code."""
         if "code" in cls.__dict__:
-            _BY_CODE[cls.code] = cls
+            _TYPES_BY_CODE[cls.code] = cls
 
     def __init__(self, message: str, retry_after_s: float | None = None) -> None:
-        """Keep the message, and the time in seconds after which a retry may succeed."""
+        """Create an error; a retry may succeed after ``retry_after_s`` seconds."""
         super().__init__(message)
         self.message = message
         self.retry_after_s = retry_after_s
 
     def body(self) -> ErrorBody:
-        """Return the error as callers see it."""
+        """Return the JSON body for the client."""
         return ErrorBody(self.code, self.message, self.outcome, retry_after_s=self.retry_after_s)
 
 
-# --- Errors in what a caller sent: nothing was run. ---
+# --- Invalid client requests: nothing was executed. ---
 
 
 class BadRequest(YokedockError):
-    """The request cannot be understood."""
+    """The request is malformed or invalid."""
 
     code = "bad_request"
     http_status = 400
@@ -79,7 +79,7 @@
 
 
 class BadIdempotencyKey(BadRequest):
-    """The idempotency key is missing, malformed or out of its time window."""
+    """The idempotency key is missing, malformed or outside its validity window."""
 
     code = "bad_idempotency_key"
 
@@ -93,7 +93,7 @@
 
 
 class Forbidden(YokedockError):
-    """The tenant may not use this class, model or service."""
+    """The tenant is not allowed to use this request class, model or service."""
 
     code = "forbidden"
     http_status = 403
@@ -101,7 +101,7 @@
 
 
 class NotFound(YokedockError):
-    """No such path, model or service."""
+    """The path, model or service does not exist."""
 
     code = "not_found"
     http_status = 404
@@ -109,7 +109,7 @@
 
 
 class MethodNotAllowed(YokedockError):
-    """The path exists, with another method."""
+    """The path exists but does not support the method."""
 
     code = "method_not_allowed"
     http_status = 405
@@ -117,175 +117,175 @@
 
 
 class PayloadTooLarge(YokedockError):
-    """The body or the requested output is over a limit."""
+    """The request body or the requested output length exceeds a limit."""
 
     code = "payload_too_large"
     http_status = 413
     outcome = Outcome.NOT_RUN
 
 
-# --- Refusals: nothing was run, and the caller is told when to come back. ---
+# --- Refusals: nothing was executed, and the client is told when to retry. ---
 
 
 class Refused(YokedockError):
-    """Base of refusals before any work; each says when to come back."""
+    """Base class of refusals before any work was started; each has a retry delay."""
 
     code = "refused"
     http_status = 503
     outcome = Outcome.NOT_RUN
 
     def __init__(self, message: str, retry_after_s: float | None = None) -> None:
-        """Keep the message, and the time in seconds after which a retry may succeed."""
+        """Create a refusal; without ``retry_after_s`` the default delay applies."""
         super().__init__(message, retry_after_s or DEFAULT_RETRY_AFTER_S)
 
 
 class TenantLimitReached(Refused):
-    """The tenant has its maximum of requests in flight."""
+    """The tenant has reached its limit of in-flight requests."""
 
     code = "tenant_limit_reached"
     http_status = 429
 
 
 class ClassLimitReached(Refused):
-    """The class has its maximum of requests in flight on this gateway."""
+    """The request class has reached its limit of in-flight requests on this gateway."""
 
     code = "class_limit_reached"
     http_status = 429
 
 
 class GatewayFull(Refused):
-    """The gateway has its maximum of requests in flight."""
+    """The gateway has reached its limit of in-flight requests."""
 
     code = "gateway_full"
 
 
 class NoDecodeRoom(Refused):
-    """No decode engine has a slot in time, so no prefill was started."""
+    """No decode engine will have a free slot in time, so no prefill was started."""
 
     code = "no_decode_room"
 
 
 class NoPrefillRoom(Refused):
-    """No prefill engine can finish in time, so none was started."""
+    """No prefill engine can finish in time, so no prefill was started."""
 
     code = "no_prefill_room"
 
 
 class NoBackend(Refused):
-    """No live back end of the needed role is known."""
+    """No live backend with the required role is known."""
 
     code = "no_backend"
 
 
 class RequestQuarantined(Refused):
-    """Backends ended each time they ran this request, so that it is kept from them for a while."""
+    """Backends terminated each time they ran this request, so it is withheld for a while."""
 
     code = "request_quarantined"
 
 
 class NotReady(Refused):
-    """The process has no bundle in force yet, or is stopping."""
+    """The process has no active bundle yet, or is shutting down."""
 
     code = "not_ready"
 
 
 class StaleVersion(Refused):
-    """The order was made under an older bundle than the receiver's."""
+    """The command was issued under an older bundle version than the receiver's."""
 
     code = "stale_version"
 
 
 class LeaseExpired(Refused):
-    """The lease of the sender has expired, so its order is not started."""
+    """The sender's lease has expired, so its command is not executed."""
 
     code = "lease_expired"
 
 
 class NotRun(YokedockError):
-    """The call certainly was not executed."""
+    """The call is known not to have been executed."""
 
     code = "not_run"
     http_status = 503
     outcome = Outcome.NOT_RUN
 
 
-# --- Outcomes of work that was started. ---
+# --- Failures after work was started. ---
 
 
 class DeadlineExceeded(YokedockError):
-    """The deadline passed before the answer was complete."""
+    """The deadline passed before the response was complete."""
 
     code = "deadline_exceeded"
     http_status = 504
 
 
 class AttemptLost(YokedockError):
-    """An engine or its agent was lost during the attempt; another attempt may go on."""
+    """An engine or its agent was lost during the attempt; a new attempt may continue."""
 
     code = "attempt_lost"
     http_status = 502
 
 
 class StreamGap(AttemptLost):
-    """Tokens are missing in a stream that may still run: it can be resumed."""
+    """Tokens are missing from a stream that may still be running and can be resumed."""
 
     code = "stream_gap"
 
 
 class RetryBudgetSpent(YokedockError):
-    """The request was lost more often than its retry budget allows."""
+    """The request was lost more often than its retry budget allows retries."""
 
     code = "retry_budget_spent"
     http_status = 502
 
 
 class AnswerLost(YokedockError):
-    """Work for the request was started, was lost, and cannot be done again now."""
+    """Work on the request was started and lost, and cannot be repeated now."""
 
     code = "answer_lost"
     http_status = 503
 
 
 class CallerGone(YokedockError):
-    """The caller closed its connection."""
+    """The client closed its connection."""
 
     code = "caller_gone"
     http_status = 499
 
 
 class OutcomeUnknown(YokedockError):
-    """A call that may not be repeated was handed over, and its result is not known."""
+    """A non-repeatable call was handed over to the service, and its result is unknown."""
 
     code = "outcome_unknown"
     http_status = 504
 
 
 class KeyFromBeforeRestart(OutcomeUnknown):
-    """The key is older than the record of its home, which started later."""
+    """The key predates its home agent's start, so an earlier execution cannot be ruled out."""
 
     code = "key_from_before_restart"
 
 
 class BackendFailed(YokedockError):
-    """The back end answered with an error of its own."""
+    """The backend returned an error of its own."""
 
     code = "backend_failed"
     http_status = 502
     outcome = Outcome.DONE
 
 
-# --- Errors between the system's processes and its back ends. ---
+# --- Errors between processes of this system, and between them and backends. ---
 
 
 class PeerUnreachable(YokedockError):
-    """The link to a peer is down; the message says whether anything was handed over."""
+    """The connection to a peer is down; the message states whether anything was handed over."""
 
     code = "peer_unreachable"
     http_status = 503
 
 
 class PeerNeverReached(PeerUnreachable):
-    """The link was down before anything was handed over."""
+    """The connection was down before anything was handed over."""
 
     code = "peer_never_reached"
     outcome = Outcome.NOT_RUN
@@ -298,65 +298,65 @@
 
 
 class PeerNotAuthenticated(YokedockError):
-    """The peer does not hold the deployment's key."""
+    """The peer does not have the deployment's key."""
 
     code = "peer_not_authenticated"
 
 
 class EngineUnavailable(YokedockError):
-    """The back end did not accept a connection: the order was not handed over."""
+    """The backend did not accept a connection: the command was not handed over."""
 
     code = "engine_unavailable"
     outcome = Outcome.NOT_RUN
 
 
 class EngineRejected(YokedockError):
-    """The back end answered that it does not take the order."""
+    """The backend replied that it does not accept the command."""
 
     code = "engine_rejected"
     outcome = Outcome.NOT_RUN
 
 
 class EngineLost(YokedockError):
-    """The connection to the back end broke after the order was handed over."""
+    """The connection to the backend broke after the command was handed over."""
 
     code = "engine_lost"
 
 
-# --- Errors in what operators wrote. ---
+# --- Errors in configuration and other operator input, and in configuration sources. ---
 
 
 class SettingsInvalid(YokedockError):
-    """The settings file has errors; the message lists all of them."""
+    """The settings file is invalid; the message lists all errors."""
 
     code = "settings_invalid"
 
 
 class LogsUnreadable(YokedockError):
-    """What was named as logs cannot be read."""
+    """The given log files or directories cannot be read."""
 
     code = "logs_unreadable"
 
 
 class BundleInvalid(YokedockError):
-    """The bundle's source has errors; the message lists all of them."""
+    """The bundle source is invalid; the message lists all errors."""
 
     code = "bundle_invalid"
 
 
 class BundleRejected(YokedockError):
-    """A published bundle was not adopted; the version in force stays."""
+    """A published bundle was rejected; the active version stays in use."""
 
     code = "bundle_rejected"
 
 
 class PlatformUnavailable(YokedockError):
-    """The configuration service or the machine list does not answer."""
+    """The configuration service or the machine list does not respond."""
 
     code = "platform_unavailable"
 
 
 def error_from_code(code: str, message: str, retry_after_s: float | None = None) -> YokedockError:
-    """Rebuild a typed error that crossed a process boundary by its code."""
-    kind = _BY_CODE.get(code, YokedockError)
-    return kind(message, retry_after_s)
+    """Reconstruct a typed error from the code sent by another process."""
+    error_type = _TYPES_BY_CODE.get(code, YokedockError)
+    return error_type(message, retry_after_s)
--- a/src/yokedock/messages.py
+++ b/src/yokedock/messages.py
@@ -1,8 +1,8 @@
-"""Every message between the system's processes.
+"""Messages exchanged between gateways and agents.
 
-Messages travel as MessagePack arrays (msgspec). Durations are milliseconds relative to receipt,
-never wall-clock times, so that clocks of machines need not agree. ``attempt`` identifies one
-attempt of one request and is unique over all gateways.
+Messages are encoded as MessagePack arrays (msgspec). Times are given as milliseconds relative to
+receipt, never as wall-clock times, so that machine clocks need not be synchronized. ``attempt``
+identifies one attempt of one request and is unique across all gateways.
 """
 
 from __future__ import annotations
@@ -11,24 +11,25 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Base of all messages; the class name is the tag on the wire."""
+    """Base class of all messages; the class name is the tag on the wire."""
 
 
-# --- Link level ---
+# --- Connection level ---
 
 
 class BundleStamp(msgspec.Struct, frozen=True, array_like=True):
-    """Version and digest of the bundle in force at the sender (version 0: none)."""
+    """Version and digest of the sender's active bundle (version 0: none)."""
 
     version: int
     digest: str
 
 
 class Heartbeat(Message, frozen=True):
-    """Gateway to agent: renews the lease and states all that the gateway still holds there.
+    """Gateway to agent: renew the lease and list all attempts the gateway still holds there.
 
-    The agent releases every attempt of this gateway that is not in ``held``. ``demand`` is the
-    gateway's demand signal: prefill seconds and decode slots it wanted in the last interval.
+    The agent releases every attempt of this gateway that is not in ``held``. ``prefill_demand`` and
+    ``decode_demand`` are the gateway's demand in the last interval: prefill seconds and decode
+    slots.
     """
 
     stamp: BundleStamp
@@ -39,7 +40,7 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True, array_like=True):
-    """An agent's view of its back end at the time of sending."""
+    """State of an agent's backend at the time of sending."""
 
     role: str
     ready: bool
@@ -51,11 +52,11 @@
 
 
 class HeartbeatReply(Message, frozen=True):
-    """Agent to gateway: its load, and which of the attempts named as held it does not know.
+    """Agent to gateway: the agent's load, and in ``lost`` the held attempts it does not know.
 
-    ``cached_blocks`` and ``evicted_blocks`` are prompt-block hashes (see ``request.prefix``) that
-    entered and left the prefix cache since the last reply; ``cache_complete`` is false when
-    changes were missed, and the receiver forgets what it knew.
+    ``cached_blocks`` and ``evicted_blocks`` are hashes of prompt blocks (see ``request.prefix``)
+    added to and evicted from the prefix cache since the last reply. ``cache_complete`` is false if
+    changes were missed; the receiver then discards its copy of the cache contents.
     """
 
     stamp: BundleStamp
@@ -68,7 +69,7 @@
 
 
 class Failure(Message, frozen=True):
-    """The reply to any call that failed: a typed error by its code."""
+    """Reply to a failed call: a typed error, identified by its code."""
 
     code: str
     text: str
@@ -76,16 +77,16 @@
 
 
 class Done(Message, frozen=True):
-    """The reply to a call that has nothing else to say."""
+    """Reply to a successful call that returns no data."""
 
 
 # --- Model requests ---
 
 
 class Reserve(Message, frozen=True):
-    """Gateway to decode agent: hold a slot from ``ready_by_ms`` until ``expires_ms``.
+    """Gateway to decode agent: reserve a slot from ``ready_by_ms`` until ``expires_ms``.
 
-    The prefill is predicted to be over in ``prefilled_in_ms``; a slot is of no use before.
+    The prefill is predicted to finish in ``prefilled_in_ms``; the slot cannot be used earlier.
     """
 
     attempt: str
@@ -98,10 +99,10 @@
 
 
 class Reserved(Message, frozen=True):
-    """The slot is promised; it will be free in ``free_in_ms`` at the latest.
+    """Reply to ``Reserve``: the slot is reserved and will be free within ``free_in_ms``.
 
-    ``load`` is the agent's load with this reservation, so that the sender need not wait for the
-    next heartbeat to learn it.
+    ``load`` is the agent's load including this reservation, so that the gateway need not wait for
+    the next heartbeat reply.
     """
 
     free_in_ms: int
@@ -111,8 +112,8 @@
 class Prefill(Message, frozen=True):
     """Gateway to prefill agent: compute the KV cache of ``prompt``.
 
-    ``first_token_by_ms`` is when the caller should see its first token; the agent refuses at once
-    if prefill and transfer cannot be over by then.
+    ``first_token_by_ms`` is the deadline for the client's first token; the agent refuses
+    immediately if prefill and transfer cannot finish by then.
     """
 
     attempt: str
@@ -125,7 +126,7 @@
 
 
 class Prefilled(Message, frozen=True):
-    """The KV cache is ready to be exported from the engine at ``source_url``.
+    """Reply to ``Prefill``: the KV cache can be exported from the engine at ``source_url``.
 
     ``load`` is the agent's load after this prefill.
     """
@@ -140,9 +141,10 @@
 
 
 class GrantTransfer(Message, frozen=True):
-    """Decode agent to prefill agent: ask for credit on the prefill side's link.
+    """Decode agent to prefill agent: request transfer credit on the prefill engine's link.
 
-    The export's time to live starts when the credit is granted, not before.
+    The export's time to live starts when the credit is granted. ``patience_ms`` is how long the
+    agent may wait for the credit.
     """
 
     attempt: str
@@ -152,7 +154,7 @@
 
 
 class TransferDone(Message, frozen=True):
-    """Decode agent to prefill agent: the transfer ended; give the credit back."""
+    """Decode agent to prefill agent: the transfer ended; release its credit."""
 
     attempt: str
     handle: str
@@ -160,9 +162,9 @@
 
 
 class Sampling(msgspec.Struct, frozen=True, omit_defaults=True):
-    """How the caller wants tokens chosen, in the OpenAI form; None: the engine's default.
+    """The client's sampling parameters, in the OpenAI format; None selects the engine's default.
 
-    The answer ends before the first of the ``stop`` sequences.
+    The output ends before the first occurrence of one of the ``stop`` sequences.
     """
 
     temperature: float | None = None
@@ -174,7 +176,7 @@
 
 
 class Decode(Message, frozen=True):
-    """Gateway to decode agent: import the KV cache and generate."""
+    """Gateway to decode agent: import the KV cache and generate tokens."""
 
     attempt: str
     version: int
@@ -193,22 +195,22 @@
 
 
 class Resume(Message, frozen=True):
-    """Gateway to decode agent: send again what follows ``from_sequence`` of a running stream."""
+    """Gateway to decode agent: resend a running stream's tokens from ``from_sequence`` on."""
 
     attempt: str
     from_sequence: int
 
 
 class Release(Message, frozen=True):
-    """Gateway to agent: the attempt is over; cancel what runs and free what is held."""
+    """Gateway to agent: the attempt is over; cancel its work and free its resources."""
 
     attempt: str
 
 
 class StreamTokens(msgspec.Struct, frozen=True, array_like=True):
-    """New tokens of one stream: the first one's sequence number, the texts, and the end.
+    """New tokens of one stream; ``sequence`` is the sequence number of the first one.
 
-    ``finish`` is empty while the stream goes on, else "stop", "length" or an error's code.
+    ``finish`` is empty while the stream continues, else "stop", "length" or an error code.
     """
 
     attempt: str
@@ -218,18 +220,18 @@
 
 
 class StepFrame(Message, frozen=True):
-    """Agent to gateway: all new tokens of one decode step for this gateway's streams."""
+    """Agent to gateway: the new tokens of one decode step for all streams of this gateway."""
 
     streams: tuple[StreamTokens, ...]
 
 
-# --- Plain service calls ---
+# --- Calls to other services ---
 
 
 class ServiceCall(Message, frozen=True):
-    """Gateway to service agent: run one call on the plain service beside the agent.
+    """Gateway to service agent: execute one call on the agent's service.
 
-    ``key`` is the idempotency key of a call that may not be repeated, or empty.
+    ``key`` is the idempotency key of a non-repeatable call, or empty.
     """
 
     attempt: str
@@ -242,7 +244,10 @@
 
 
 class ServiceAnswer(Message, frozen=True):
-    """The service's whole answer."""
+    """Reply to ``ServiceCall``: the complete response of the service.
+
+    ``replayed`` means that it comes from an earlier execution with the same key.
+    """
 
     status: int
     content_type: str
@@ -251,10 +256,11 @@
 
 
 class Tombstone(Message, frozen=True):
-    """Forbid a call: an order for the key that arrives later will not be run.
+    """Forbid a call: the agent will not execute a call with this key that arrives later.
 
-    Sent by a gateway that gave up, and by a new home to the old one. The reply is ``TombstoneSet``
-    if the key had not been run, ``ServiceAnswer`` if it has an answer, else ``Failure``.
+    Sent by a gateway that has given up on the call, and by a key's new home agent to the previous
+    one. The reply is ``TombstoneSet`` if no call with the key was executed, ``ServiceAnswer`` if
+    its response is known, else ``Failure``.
     """
 
     service: str
@@ -262,42 +268,42 @@
 
 
 class TombstoneSet(Message, frozen=True):
-    """The key was not run here and never will be."""
+    """Reply to ``Tombstone``: no call with the key was or will be executed by this agent."""
 
 
 # --- Bundles ---
 
 
 class FetchBundle(Message, frozen=True):
-    """Ask a peer that is ahead for its signed envelope."""
+    """Request the signed envelope of a peer that has a newer bundle."""
 
 
 class BundleEnvelope(Message, frozen=True):
-    """The signed envelope in force at the sender, empty if it has none."""
+    """The signed envelope of the sender's active bundle, empty if it has none."""
 
     envelope: bytes
 
 
 class FetchSections(Message, frozen=True):
-    """Ask a peer for content-addressed sections by digest."""
+    """Request content-addressed bundle sections by digest."""
 
     digests: tuple[str, ...]
 
 
 class BundleSections(Message, frozen=True):
-    """The sections that were asked for and are known, by position; empty where unknown."""
+    """The requested sections, in the order of the request; empty where unknown."""
 
     contents: tuple[bytes, ...]
 
 
 class OfferBundle(Message, frozen=True):
-    """Hand over a newer signed envelope to a peer that is behind."""
+    """Send a newer signed envelope to a peer that has an older bundle."""
 
     envelope: bytes
 
 
 class PacketsTaken(Message, frozen=True):
-    """Dialling end to listening end: ``count`` packets were read since the last such message."""
+    """Dialer to listener: ``count`` packets were read since the last such message."""
 
     count: int
 
@@ -331,7 +337,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True, array_like=True):
-    """One message with the number of the call it belongs to (0: no reply is expected)."""
+    """One message with the number of its call (0: no reply is expected)."""
 
     call: int
     message: AnyMessage
@@ -342,10 +348,10 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the frame's MessagePack form."""
+    """Encode a frame as MessagePack."""
     return _ENCODER.encode(frame)
 
 
 def decode_frame(data: bytes) -> Frame:
-    """Parse a frame; raises ``msgspec.DecodeError`` on anything else."""
+    """Decode a frame; raises ``msgspec.DecodeError`` if the data is not a valid frame."""
     return _DECODER.decode(data)
--- a/src/yokedock/router_errors.py
+++ b/src/yokedock/router_errors.py
@@ -1,4 +1,4 @@
-"""Typed errors of the router: what became of a request at a backend, and bad input."""
+"""Typed errors of the router: failed backend requests, invalid input and lost change history."""
 
 from __future__ import annotations
 
@@ -13,71 +13,78 @@
 
 
 class BackendAnswerLost(YokedockError):
-    """A backend may have run the request, and its answer was lost."""
+    """A backend may have executed the request, but its response was lost."""
 
     code = "backend_answer_lost"
     http_status = 502
 
 
 class BackendRefused(EngineRejected):
-    """The backend stated that it did not run the request and will not run it."""
+    """The backend stated that it did not execute the request and will not execute it."""
 
     code = "backend_refused"
     http_status = 503
 
 
 class BackendUnreachable(EngineUnavailable):
-    """No connection to the backend could be opened: nothing was sent."""
+    """No connection to the backend could be established: nothing was sent."""
 
     code = "backend_unreachable"
 
 
 class BackendUnwilling(BackendUnreachable):
-    """The backend leaves, or has asked for rest, since it was chosen: nothing was sent."""
+    """The backend accepts no request now: nothing was sent.
+
+    After it was selected it began to leave, asked for a pause, or reached a request or connection
+    limit.
+    """
 
     code = "backend_unwilling"
 
 
 class BackendBroken(EngineLost):
-    """The connection ended, or sent what is no answer, after the request went out."""
+    """The connection ended or returned an invalid response after the request was sent."""
 
     code = "backend_broken"
     http_status = 502
 
 
 class BackendClosed(BackendBroken):
-    """The backend closed or reset the connection before its answer was whole: it may have ended."""
+    """The backend closed or reset the connection before its response was complete.
+
+    The backend may have terminated.
+    """
 
     code = "backend_closed"
 
 
 class AnswerTooLong(BackendBroken):
-    """The answer has more bytes than the caller of it can use."""
+    """The response is larger than the limit set by the caller."""
 
     code = "answer_too_long"
 
 
 class HeaderTooLarge(BadRequest):
-    """The head of a request is larger than the configuration allows."""
+    """The request header is larger than the configured limit."""
 
     code = "header_too_large"
     http_status = 431
 
 
 class RequestTimeout(BadRequest):
-    """The request did not arrive whole in the time that the configuration allows."""
+    """The request was not received completely within the configured time."""
 
     code = "request_timeout"
     http_status = 408
 
 
 class HistoryGone(PlatformUnavailable):
-    """The changes since a position are gone or too many; everything must be read anew."""
+    """The changes since a position are unavailable or too many; a full read is required."""
 
     code = "history_gone"
 
 
 class BackendSilent(BackendBroken):
-    """The backend has the request and says nothing: it may be dark or cut off."""
+    """The backend sent no response to a request in time: it may be hung or unreachable."""
 
     code = "backend_silent"
