--- a/deploy/main.py
+++ b/deploy/main.py
@@ -1,4 +1,4 @@
-"""Entry point on the users' machines: the sources beside this file, the libraries of the build."""
+"""Entry point of a deployment; imports yokedock from ``src`` and libraries from the build."""
 
 import os
 import signal
@@ -8,8 +8,9 @@
 
 
 def run():
-    """Listen first, then load the program: callers may be waiting for this machine."""
-    # Loading takes a while, and news of new settings must not end the process meanwhile.
+    """Open the listening sockets, then load the program: clients may already be connecting."""
+    # SIGHUP announces new settings. By default it ends the process, so it is ignored while the
+    # program is loading, which takes a while; the program installs its own handler later.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     sys.path.insert(0, os.path.join(ROOT, "src"))
     from yokedock.base.early_sockets import listen_early
--- a/tools/check_deployment.py
+++ b/tools/check_deployment.py
@@ -1,8 +1,8 @@
-"""Lint: whatever the deployed program can import, lazily too, is declared for the deployment.
+"""Lint: every library that the deployed program can import is declared for the deployment.
 
-Walks the imports from ``deploy/main.py``, those inside functions included. Each module must be of
-the standard library, ours, or of a distribution that deploy/requirements.txt names in the very
-version that the lock file has.
+Follows all imports from ``deploy/main.py``, including those inside functions. Each module must
+belong to the standard library, to this repository, or to a distribution that
+deploy/requirements.txt lists with the same version as requirements.lock.
 """
 
 import ast
@@ -11,11 +11,11 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-ENTRY = "deploy/main.py"
+ENTRY_POINT = "deploy/main.py"
 
 
-def imported(source):
-    """Return the modules that a source text imports at run time, at any depth of nesting."""
+def imported_modules(source):
+    """Return the modules that a source text imports at run time, at any nesting depth."""
     found = set()
     nodes = [ast.parse(source)]
     while nodes:
@@ -32,8 +32,8 @@
     return found
 
 
-def source_of(module, root):
-    """Return the file of one of our modules, None if it is none."""
+def find_source(module, root):
+    """Return the source file of a module of this repository, None for any other module."""
     base = root / "src" / Path(*module.split("."))
     for path in (base.with_suffix(".py"), base / "__init__.py"):
         if path.exists():
@@ -41,56 +41,59 @@
     return None
 
 
-def foreign_imports(root):
-    """Return {top-level module of a library: file that imports it} for the deployed program."""
-    files, seen, foreign = [root / ENTRY], set(), {}
+def third_party_imports(root):
+    """Return {top-level module: importing file} for the third-party imports of the program."""
+    files, seen, third_party = [root / ENTRY_POINT], set(), {}
     while files:
         path = files.pop()
         if path in seen:
             continue
         seen.add(path)
-        for module in imported(path.read_text()):
-            own = source_of(module, root)
+        for module in imported_modules(path.read_text()):
+            source = find_source(module, root)
             top = module.partition(".")[0]
-            if own is not None:
-                files.append(own)
-            elif top not in sys.stdlib_module_names and source_of(top, root) is None:
-                foreign.setdefault(top, str(path.relative_to(root)))
-    return foreign
+            if source is not None:
+                files.append(source)
+            elif top not in sys.stdlib_module_names and find_source(top, root) is None:
+                third_party.setdefault(top, str(path.relative_to(root)))
+    return third_party
 
 
-def versions(path):
-    """Return {normal name of a distribution: version} of a file of pinned requirements."""
+def pinned_versions(path):
+    """Return {normalized distribution name: version} for a file of pinned requirements."""
     lines = path.read_text().splitlines()
     pairs = (line.partition("==") for line in lines if line and not line.startswith("#"))
-    return {normal(name): version for name, _, version in pairs}
+    return {normalize_name(name): version for name, _, version in pairs}
 
 
-def normal(name):
-    """Return a distribution's name as names are compared."""
+def normalize_name(name):
+    """Return a distribution name in the form used for comparison."""
     return name.lower().replace("_", "-").replace(".", "-")
 
 
 def problems(root):
-    """Return a line for everything that is missing or of another version."""
-    declared = versions(root / "deploy" / "requirements.txt")
-    locked = versions(root / "requirements.lock")
-    owners = importlib.metadata.packages_distributions()
+    """Return one line for each undeclared library and each version mismatch."""
+    declared = pinned_versions(root / "deploy" / "requirements.txt")
+    locked = pinned_versions(root / "requirements.lock")
+    distributions = importlib.metadata.packages_distributions()
     found = []
-    for module, path in sorted(foreign_imports(root).items()):
-        names = {normal(name) for name in owners.get(module, [module])}
+    for module, path in sorted(third_party_imports(root).items()):
+        names = {normalize_name(name) for name in distributions.get(module, [module])}
         if not names & declared.keys():
             found.append(f"{path} imports {module}; add it to deploy/requirements.txt")
     for name, version in sorted(declared.items()):
         if locked.get(name) != version:
-            found.append(f"{name} is {version} when deployed and {locked.get(name)} in tests")
+            found.append(f"{name} is {version} when deployed but {locked.get(name)} when tested")
     return found
 
 
 def main():
-    """Print what is wrong; return the exit status."""
+    """Print all problems; return the exit status."""
     found = problems(ROOT)
-    print("\n".join(found) or "the deployed program imports only what is declared for it")
+    print(
+        "\n".join(found)
+        or "all libraries of the deployed program are declared with the locked versions"
+    )
     return 1 if found else 0
 
 
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -1,16 +1,16 @@
-"""Lint: imports between the packages of yokedock point one way, and modules form no circle."""
+"""Lint: packages of yokedock import only from lower layers, and no modules import in a cycle."""
 
 import ast
 import sys
 from pathlib import Path
 
 SOURCE = Path(__file__).resolve().parent.parent / "src" / "yokedock"
-ORDER = ("base", "version", "connection", "request", "process", "platform")
-"""A package may import those before it."""
+LAYERS = ("base", "version", "connection", "request", "process", "platform")
+"""Packages from the lowest layer to the highest; each may import itself and those before it."""
 
 
-def imported(path):
-    """Yield the modules of yokedock that a file imports, under TYPE_CHECKING too."""
+def imported_modules(path):
+    """Yield the yokedock modules that a file imports, including those under TYPE_CHECKING."""
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.ImportFrom) and (node.module or "").startswith("yokedock."):
             yield node.module
@@ -19,21 +19,21 @@
 
 
 def module_of(path):
-    """Return the dotted name of a file."""
+    """Return the dotted module name of a file."""
     return "yokedock." + ".".join(path.relative_to(SOURCE).with_suffix("").parts)
 
 
-def find_circle(edges):
-    """Return a circle of modules, None if there is none."""
+def find_import_cycle(edges):
+    """Return the modules of an import cycle, None if there is none."""
     state = {}
 
-    def visit(module, trail):
+    def visit(module, path):
         state[module] = "open"
         for target in edges.get(module, ()):
             if state.get(target) == "open":
-                return [*trail[trail.index(target) :], target]
+                return [*path[path.index(target) :], target]
             if target not in state:
-                found = visit(target, [*trail, target])
+                found = visit(target, [*path, target])
                 if found:
                     return found
         state[module] = "done"
@@ -48,22 +48,22 @@
 
 
 def main():
-    """Print what points the wrong way; return the exit status."""
-    edges = {module_of(path): sorted(set(imported(path))) for path in SOURCE.rglob("*.py")}
-    wrong = []
+    """Print imports from higher layers and an import cycle, if any; return the exit status."""
+    edges = {module_of(path): sorted(set(imported_modules(path))) for path in SOURCE.rglob("*.py")}
+    violations = []
     for module, targets in edges.items():
         package = module.split(".")[1]
-        if package not in ORDER:
+        if package not in LAYERS:
             continue
         for target in targets:
-            other = target.split(".")[1]
-            if other in ORDER and ORDER.index(other) > ORDER.index(package):
-                wrong.append(f"{module} imports {target}")
-    circle = find_circle(edges)
-    if circle:
-        wrong.append("circle: " + " -> ".join(circle))
-    print("\n".join(wrong) or f"{len(edges)} modules: imports point one way")
-    return 1 if wrong else 0
+            target_package = target.split(".")[1]
+            if target_package in LAYERS and LAYERS.index(target_package) > LAYERS.index(package):
+                violations.append(f"{module} imports {target}")
+    cycle = find_import_cycle(edges)
+    if cycle:
+        violations.append("import cycle: " + " -> ".join(cycle))
+    print("\n".join(violations) or f"{len(edges)} modules: layers respected, no import cycles")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/check_platform_words.py
+++ b/tools/check_platform_words.py
@@ -1,12 +1,12 @@
-"""Lint: the words of the users' platform stand in its own package and nowhere else."""
+"""Lint: names defined by the deployment platform occur in the platform package only."""
 
 import re
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-OWN = "src/yokedock/platform/"
-WORDS = re.compile(
+PLATFORM_PACKAGE = "src/yokedock/platform/"
+PLATFORM_NAMES = re.compile(
     r"X-Yokedock|Kv-Fetch|/kv-|/hold-|op/config|servers/|YOKEDOCK_SETTINGS|boot\.yaml|"
     r"pathPrefix|routeType|trafficSplit|maxAttempts|targetLatencyMs|itlTargetMs|kvHandle|"
     r"fencingToken|tokenCount|privateKey|waitMs|slotCount|kvCapacity|stageSwitchS|non_idempotent"
@@ -14,17 +14,17 @@
 
 
 def main():
-    """Print every line that speaks the platform's words elsewhere; return the exit status."""
-    found = []
+    """Print every other line that contains a platform name; return the exit status."""
+    violations = []
     for path in sorted((ROOT / "src").rglob("*.py")):
         name = str(path.relative_to(ROOT))
-        if name.startswith(OWN):
+        if name.startswith(PLATFORM_PACKAGE):
             continue
         for number, line in enumerate(path.read_text().splitlines(), 1):
-            if WORDS.search(line):
-                found.append(f"{name}:{number}: {line.strip()}")
-    print("\n".join(found) or "no word of the platform outside its package")
-    return 1 if found else 0
+            if PLATFORM_NAMES.search(line):
+                violations.append(f"{name}:{number}: {line.strip()}")
+    print("\n".join(violations) or "no platform names outside the platform package")
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
--- a/tools/check_system_calls.py
+++ b/tools/check_system_calls.py
@@ -1,7 +1,7 @@
-"""Lint: clocks, random numbers and sockets are each obtained from one replaceable module.
+"""Lint: clocks, random numbers and sockets are each accessed through one replaceable module.
 
-Ages and deadlines need the clock that counts suspensions: the monotonic one stands still while the
-machine is suspended, and the time of day jumps.
+Ages and deadlines need a clock that includes suspend time: the monotonic clock stops while the
+machine is suspended, and the wall clock can jump.
 """
 
 import dataclasses
@@ -14,10 +14,10 @@
 
 @dataclasses.dataclass(frozen=True)
 class Rule:
-    """A pattern of calls that only one module may contain."""
+    """A pattern of calls that is allowed in one module only."""
 
     module: str
-    call: re.Pattern[str]
+    pattern: re.Pattern[str]
 
 
 RULES = (
@@ -34,16 +34,19 @@
 
 
 def main():
-    """Print the lines that bypass these modules; return the exit status."""
-    wrong = []
+    """Print all lines that bypass these modules; return the exit status."""
+    violations = []
     for path in sorted(SOURCE.rglob("*.py")):
         module = str(path.relative_to(SOURCE))
         for number, line in enumerate(path.read_text().splitlines(), 1):
             for rule in RULES:
-                if module != rule.module and rule.call.search(line):
-                    wrong.append(f"{module}:{number}: {line.strip()}: use {rule.module}")
-    print("\n".join(wrong) or "clocks, random numbers and sockets come from one module each")
-    return 1 if wrong else 0
+                if module != rule.module and rule.pattern.search(line):
+                    violations.append(f"{module}:{number}: {line.strip()}: use {rule.module}")
+    print(
+        "\n".join(violations)
+        or "clocks, random numbers and sockets are accessed through one module each"
+    )
+    return 1 if violations else 0
 
 
 if __name__ == "__main__":
