--- a/features/support/reservation_properties.py
+++ b/features/support/reservation_properties.py
@@ -11,7 +11,7 @@
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
 from yokedock.request.routed_call import BufferedAnswer, RoutedCall
 from yokedock.request.unary_call import UnaryCalls
-from yokedock.router_errors import BackendSilent, BackendUnreachable
+from yokedock.router_errors import BackendUnreachable, BackendUnresponsive
 from yokedock.version.route_table import Route, RouteKind, ServiceSpec, WeightedTarget
 
 SERVICE = "plain"
@@ -46,14 +46,14 @@
         self._exchanges.asked.append(self.backend.name)
 
     async def read_whole(self, patience_s):
-        """Return the answer; raises ``BackendSilent`` if a slow backend is not waited for.
+        """Return the answer; raises ``BackendUnresponsive`` if a slow backend is not waited for.
 
         A read with no patience is the one that follows a reservation.
         """
         if patience_s == 0.0:
             self._exchanges.after_reservation()
         if self._is_slow and patience_s < TIME_LEFT_S / 2:
-            raise BackendSilent(f"{self.backend.name} gave no answer")
+            raise BackendUnresponsive(f"{self.backend.name} gave no answer")
         return BufferedAnswer(AnswerHead((), 200, b"OK"), self.backend.name.encode())
 
 
--- a/features/support/restored_properties.py
+++ b/features/support/restored_properties.py
@@ -28,7 +28,7 @@
     REMOVED_HOLD_S,
     WITHDRAWAL_RETENTION_S,
 )
-from yokedock.router_errors import HistoryGone
+from yokedock.router_errors import HistoryUnavailable
 from yokedock.version.route_table import RouteTable
 
 TABLE = RouteTable(1, (), {})
@@ -362,7 +362,7 @@
     assert of_read(SourcePosition(2, 50)) < known < of_read(SourcePosition(4, 1))
     assert of_changes(SourcePosition(NO_ERA, 21)) == SourcePosition(3, 21)
     assert of_changes(SourcePosition(3, 0)) == known
-    for reported, error in (((NO_ERA, 19), HistoryGone), ((4, 30), HistoryGone)):
+    for reported, error in (((NO_ERA, 19), HistoryUnavailable), ((4, 30), HistoryUnavailable)):
         assert _raised(of_changes, reported) is error, reported
     assert _raised(of_changes, (2, 30)) is PlatformUnavailable
 
@@ -397,13 +397,13 @@
 
 
 def a_read_with_pages_from_two_eras_is_rejected():
-    """A read that spans a restore raises ``HistoryGone``; one within an era does not."""
+    """A read that spans a restore raises ``HistoryUnavailable``; one within an era does not."""
     assert asyncio.run(_read_pages((1, 20), (1, 22))) == SourcePosition(1, 20)
     assert asyncio.run(_read_pages((0, 20), (0, 22))) == SourcePosition(NO_ERA, 20)
     for pages in (((1, 20), (2, 22)), ((0, 20), (0, 19)), ((1, 20), (0, 22))):
         try:
             asyncio.run(_read_pages(*pages))
-        except HistoryGone:
+        except HistoryUnavailable:
             continue
         raise AssertionError(f"{pages} were accepted as one read")
 
--- a/features/support/stream_properties.py
+++ b/features/support/stream_properties.py
@@ -21,7 +21,7 @@
 from yokedock.request.routed_call import RoutedCall
 from yokedock.request.silence_detector import ENGINE_SILENCE_S, MOVE_SILENCE_S, SilenceDetector
 from yokedock.request.stream_duration import StreamDuration
-from yokedock.router_errors import BackendSilent
+from yokedock.router_errors import BackendUnresponsive
 from yokedock.version.route_table import EngineTraits, Route, RouteKind, ServiceSpec, WeightedTarget
 
 TRAITS = EngineTraits(slots=4, memory_tokens=1000, token_bytes=1.0, link_mbps=1000.0)
@@ -256,7 +256,7 @@
                 watch.heard(other)
         try:
             await stalled.within(0.001, asyncio.Event().wait())
-        except BackendSilent:
+        except BackendUnresponsive:
             return is_avoided(backends)
 
     for has_begun in (True, False):
@@ -285,7 +285,7 @@
     """Wait on a stream for long; return whether it was given up as silent."""
     try:
         await stream.within(60.0, asyncio.Event().wait())
-    except BackendSilent:
+    except BackendUnresponsive:
         return True
     return False
 
--- a/features/support/watch_properties.py
+++ b/features/support/watch_properties.py
@@ -26,7 +26,7 @@
     WatchDuty,
 )
 from yokedock.request.backend_registry import BackendRegistry
-from yokedock.router_errors import HistoryGone
+from yokedock.router_errors import HistoryUnavailable
 from yokedock.version.route_table import RouteTable
 from yokedock_emulator.simulation.simulation import run_simulated
 
@@ -70,7 +70,7 @@
     async def wait(self, position, longest_s):
         """Return what changed after a revision."""
         if position.revision > self.position.revision:
-            raise HistoryGone("the revision is newer than the store")
+            raise HistoryUnavailable("the revision is newer than the store")
         if position.revision == self.position.revision:
             try:
                 await asyncio.wait_for(self._changed.wait(), longest_s)
--- a/src/yokedock/connection/answer_writer.py
+++ b/src/yokedock/connection/answer_writer.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from yokedock.connection.http_heads import AnswerHead, whole_answer
-from yokedock.errors import CallerGone, ErrorResponse, YokedockError
+from yokedock.errors import ClientClosedConnection, ErrorResponse, YokedockError
 
 
 class AnswerChannel(Protocol):
@@ -83,9 +83,10 @@
         await self.whole(*whole_answer(error.http_status, body, headers))
 
     def require_caller(self) -> None:
-        """Raise ``CallerGone`` if the caller has left, also when that was not read yet."""
+        """Raise ``ClientClosedConnection`` if the caller has left, also when that was not read
+        yet."""
         if self._connection.has_left():
-            raise CallerGone("the caller has left")
+            raise ClientClosedConnection("the caller has left")
 
     def break_off(self) -> None:
         """Close the connection in the middle of the answer, which then cannot look complete."""
--- a/src/yokedock/connection/backend_connection.py
+++ b/src/yokedock/connection/backend_connection.py
@@ -20,11 +20,11 @@
 from yokedock.base.sockets import new_socket
 from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
 from yokedock.router_errors import (
-    AnswerTooLong,
-    BackendBroken,
-    BackendClosed,
-    BackendSilent,
+    BackendConnectionClosed,
+    BackendResponseError,
     BackendUnreachable,
+    BackendUnresponsive,
+    ResponseTooLarge,
 )
 
 READ_BYTES = 65_536
@@ -115,14 +115,14 @@
         try:
             self._writer.write(data)
         except (OSError, RuntimeError) as error:
-            raise BackendClosed(f"{self.address}: {error}") from None
+            raise BackendConnectionClosed(f"{self.address}: {error}") from None
 
     async def read_head(self, is_ours: IsOurs) -> AnswerHead:
         """Return the head of the answer to the request sent last.
 
         Answers for which ``is_ours`` is false belong to earlier requests: they are dropped.
-        Raises ``BackendClosed`` when the connection ends, ``BackendBroken`` if the bytes are no
-        answer.
+        Raises ``BackendConnectionClosed`` when the connection ends, ``BackendResponseError`` if the
+        bytes are no answer.
         """
         while True:
             head = await self._next_head()
@@ -133,8 +133,8 @@
     async def body_parts(self, limit: int | None = None) -> AsyncIterator[bytes]:
         """Yield the parts of the body as they come.
 
-        Raises ``BackendClosed`` if it is cut off, ``AnswerTooLong`` if it has more than ``limit``
-        bytes.
+        Raises ``BackendConnectionClosed`` if it is cut off, ``ResponseTooLarge`` if it has more
+        than ``limit`` bytes.
         """
         size = 0
         while True:
@@ -142,13 +142,15 @@
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if limit is not None and size > limit:
-                    raise AnswerTooLong(f"{self.address}: the answer has more than {limit} bytes")
+                    raise ResponseTooLarge(
+                        f"{self.address}: the answer has more than {limit} bytes"
+                    )
                 yield bytes(event.data)
             elif isinstance(event, h11.EndOfMessage):
                 self._finish()
                 return
             else:
-                raise BackendClosed(f"{self.address}: the answer was cut off")
+                raise BackendConnectionClosed(f"{self.address}: the answer was cut off")
 
     def abort(self) -> None:
         """Close at once; the backend sees a reset and may stop its work.
@@ -175,7 +177,7 @@
                 headers = tuple(event.headers.raw_items())
                 self._note_rest(headers)
                 return AnswerHead(headers, event.status_code, bytes(event.reason))
-            raise BackendClosed(f"{self.address}: the connection ended without an answer")
+            raise BackendConnectionClosed(f"{self.address}: the connection ended without an answer")
 
     async def _next_event(self) -> object:
         assert self._parser is not None
@@ -184,17 +186,21 @@
                 event = self._parser.next_event()
             except h11.RemoteProtocolError as error:
                 if self._has_closed:
-                    raise BackendClosed(f"{self.address}: closed within an answer") from None
-                raise BackendBroken(f"{self.address}: not an answer ({error})") from None
+                    raise BackendConnectionClosed(
+                        f"{self.address}: closed within an answer"
+                    ) from None
+                raise BackendResponseError(f"{self.address}: not an answer ({error})") from None
             if event is not h11.NEED_DATA:
                 return event
             try:
                 data = await self._reader.read(READ_BYTES)
             except TimeoutError:
                 # Nothing that was sent has been acknowledged: the kernel gave the connection up.
-                raise BackendSilent(f"{self.address} acknowledges nothing") from None
+                raise BackendUnresponsive(f"{self.address} acknowledges nothing") from None
             except OSError as error:
-                raise BackendClosed(f"{self.address}: {error.strerror or error}") from None
+                raise BackendConnectionClosed(
+                    f"{self.address}: {error.strerror or error}"
+                ) from None
             self._has_closed = not data
             self.received_bytes += len(data)
             if data:
@@ -202,7 +208,7 @@
             try:
                 self._parser.receive_data(data)
             except (h11.RemoteProtocolError, RuntimeError) as error:
-                raise BackendBroken(f"{self.address}: not an answer ({error})") from None
+                raise BackendResponseError(f"{self.address}: not an answer ({error})") from None
 
     async def _drop_foreign_answer(self) -> None:
         """Read an earlier request's answer to its end and go on behind it."""
@@ -211,7 +217,7 @@
             pass
         rest = self._parser.trailing_data[0]
         if self._parser.their_state is not h11.DONE:
-            raise BackendBroken(f"{self.address}: closed after another request's answer")
+            raise BackendResponseError(f"{self.address}: closed after another request's answer")
         parser = h11.Connection(h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES)
         parser.send(h11.Request(method="GET", target="/", headers=[("Host", "-")]))
         parser.send(h11.EndOfMessage())
--- a/src/yokedock/connection/caller_connection.py
+++ b/src/yokedock/connection/caller_connection.py
@@ -20,7 +20,7 @@
 from yokedock.connection.caller_presence import has_left
 from yokedock.connection.caller_request import CallerRequest, check_head
 from yokedock.connection.http_heads import RequestHead
-from yokedock.errors import BadRequest, CallerGone, PayloadTooLarge, YokedockError
+from yokedock.errors import BadRequest, ClientClosedConnection, PayloadTooLarge, YokedockError
 from yokedock.router_errors import HeaderTooLarge, RequestTimeout
 from yokedock.version.route_table import CallerLimits
 
@@ -228,14 +228,15 @@
     async def _run_handler(self, request: CallerRequest, answer: AnswerWriter) -> None:
         try:
             await self._handle(request, answer)
-        except (OSError, CallerGone):
+        except (OSError, ClientClosedConnection):
             self.abort()
 
     async def _handle(self, request: CallerRequest, answer: AnswerWriter) -> None:
-        """Run the handler; raises ``OSError`` or ``CallerGone`` when nobody waits any more."""
+        """Run the handler; raises ``OSError`` or ``ClientClosedConnection`` when nobody waits any
+        more."""
         try:
             await self._handler(request, answer)
-        except (OSError, CallerGone):
+        except (OSError, ClientClosedConnection):
             raise
         except YokedockError as error:
             await self._tell(answer, error)
--- a/src/yokedock/connection/http_get.py
+++ b/src/yokedock/connection/http_get.py
@@ -13,7 +13,7 @@
     short_call,
 )
 from yokedock.errors import PlatformUnavailable
-from yokedock.router_errors import AnswerTooLong, BackendBroken, BackendUnreachable
+from yokedock.router_errors import BackendResponseError, BackendUnreachable, ResponseTooLarge
 
 DOCUMENT_PROGRESS = AnswerProgress(stall_s=1.5, longest_s=20.0)
 """A document of a megabyte takes 2.2 s on a link of 5 Mbit/s that nothing else uses. The stall is
@@ -41,7 +41,7 @@
         """Return the answer, which may take long as long as it flows.
 
         Raises ``PlatformUnavailable`` if its head is not there in time or it stalls,
-        ``AnswerTooLong`` if it has more than ``most_bytes``.
+        ``ResponseTooLarge`` if it has more than ``most_bytes``.
         """
         limits = CallLimits(
             self._connect_timeout_s,
@@ -53,7 +53,7 @@
         self._share = ReadShare()
         try:
             return await short_call(self._pool, self._address, call, limits, self._share)
-        except AnswerTooLong:
+        except ResponseTooLarge:
             raise
-        except (BackendUnreachable, BackendBroken) as error:
+        except (BackendUnreachable, BackendResponseError) as error:
             raise PlatformUnavailable(error.message) from None
--- a/src/yokedock/connection/http_server.py
+++ b/src/yokedock/connection/http_server.py
@@ -15,7 +15,7 @@
 from yokedock.base.logs import logger
 from yokedock.errors import (
     BadRequest,
-    CallerGone,
+    ClientClosedConnection,
     ErrorBody,
     ErrorResponse,
     MethodNotAllowed,
@@ -104,7 +104,7 @@
             try:
                 raw_write(data)
             except (ClientDisconnected, OSError):
-                raise CallerGone("the caller closed its connection") from None
+                raise ClientClosedConnection("the caller closed its connection") from None
 
         return write
 
--- a/src/yokedock/connection/routes_file.py
+++ b/src/yokedock/connection/routes_file.py
@@ -19,7 +19,7 @@
     StateSource,
 )
 from yokedock.errors import PlatformUnavailable, SettingsInvalid
-from yokedock.router_errors import HistoryGone
+from yokedock.router_errors import HistoryUnavailable
 from yokedock.version.route_table import (
     CallerLimits,
     EngineTraits,
@@ -128,11 +128,12 @@
             raise PlatformUnavailable(f"{self._path}: {error}") from None
 
     async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
-        """Return nothing while the file stays as it is; raises ``HistoryGone`` when it changed."""
+        """Return nothing while the file stays as it is; raises ``HistoryUnavailable`` when it
+        changed."""
         await asyncio.sleep(min(POLL_S, longest_s))
         try:
             if self._path.stat().st_mtime_ns != self._changed_ns:
-                raise HistoryGone(f"{self._path} has changed")
+                raise HistoryUnavailable(f"{self._path} has changed")
         except OSError as error:
             raise PlatformUnavailable(f"{self._path}: {error}") from None
         return StateChanges(position)
--- a/src/yokedock/connection/short_call.py
+++ b/src/yokedock/connection/short_call.py
@@ -17,7 +17,7 @@
 from yokedock.connection.backend_connection import LONGEST_REST_S, BackendConnection
 from yokedock.connection.backend_pool import BackendPool
 from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
-from yokedock.router_errors import AnswerTooLong, BackendSilent
+from yokedock.router_errors import BackendUnresponsive, ResponseTooLarge
 
 MAX_ANSWER_BYTES = 16_777_216
 
@@ -62,7 +62,7 @@
     """A kept connection that rested for longer is not used."""
     progress: AnswerProgress | None = None
     most_bytes: int = MAX_ANSWER_BYTES
-    """An answer that announces or has more is given up (``AnswerTooLong``)."""
+    """An answer that announces or has more is given up (``ResponseTooLarge``)."""
 
 
 class ReadShare(msgspec.Struct):
@@ -88,8 +88,8 @@
 
     ``share`` is kept up to date while the answer comes.
 
-    Raises ``BackendUnreachable`` if nothing was sent, ``BackendBroken`` if there is no whole answer
-    (``BackendSilent`` if there is none in time).
+    Raises ``BackendUnreachable`` if nothing was sent, ``BackendResponseError`` if there is no whole
+    answer (``BackendUnresponsive`` if there is none in time).
     """
     async with _connection(pool, address, limits) as connection:
         sent_s = asyncio.get_running_loop().time()
@@ -101,7 +101,7 @@
                 announced_bytes = _announced_bytes(answer)
                 if announced_bytes > limits.most_bytes:
                     message = f"the answer has {announced_bytes} bytes, over {limits.most_bytes}"
-                    raise AnswerTooLong(f"{address}: {message}")
+                    raise ResponseTooLarge(f"{address}: {message}")
                 share = share or ReadShare()
                 share.announced_bytes = announced_bytes
                 parts = []
@@ -119,7 +119,7 @@
         except TimeoutError:
             took_s = asyncio.get_running_loop().time() - sent_s
             state = f"{connection.received_bytes} bytes in {took_s:.1f} s, not whole"
-            raise BackendSilent(f"{address}: {state}: {call.target.decode()}") from None
+            raise BackendUnresponsive(f"{address}: {state}: {call.target.decode()}") from None
 
 
 def _announced_bytes(head: AnswerHead) -> int:
--- a/src/yokedock/connection/source_position.py
+++ b/src/yokedock/connection/source_position.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from yokedock.errors import PlatformUnavailable
-from yokedock.router_errors import HistoryGone
+from yokedock.router_errors import HistoryUnavailable
 
 NO_ERA = -1
 """Era of a response that does not name one."""
@@ -35,18 +35,20 @@
     def position_of_changes(self, reported: SourcePosition) -> SourcePosition:
         """Return the end position of the changes that were requested from this position.
 
-        Raises ``HistoryGone`` if the source has been restored since: changes after a revision of
-        the earlier era may omit some that the router lacks. Raises ``PlatformUnavailable`` if the
-        response is from an earlier era.
+        Raises ``HistoryUnavailable`` if the source has been restored since: changes after a
+        revision of the earlier era may omit some that the router lacks. Raises
+        ``PlatformUnavailable`` if the response is from an earlier era.
         """
         if reported.era == NO_ERA:
             if reported.revision < self.revision:
-                raise HistoryGone(
+                raise HistoryUnavailable(
                     f"the revision went back from {self.revision} to {reported.revision}"
                 )
             return SourcePosition(self.era, reported.revision)
         if reported.era > self.era:
-            raise HistoryGone(f"the source was restored: era {reported.era}, expected {self.era}")
+            raise HistoryUnavailable(
+                f"the source was restored: era {reported.era}, expected {self.era}"
+            )
         if reported.era < self.era:
             raise PlatformUnavailable(
                 f"the response is from era {reported.era}, earlier than {self.era}"
--- a/src/yokedock/connection/state_source.py
+++ b/src/yokedock/connection/state_source.py
@@ -64,7 +64,7 @@
     async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
         """Return what has changed after ``position``, or nothing after ``longest_s``.
 
-        Raises ``HistoryGone`` when the source no longer knows what came after ``position``.
+        Raises ``HistoryUnavailable`` when the source no longer knows what came after ``position``.
         """
 
     def received_fraction(self) -> float:
--- a/src/yokedock/errors.py
+++ b/src/yokedock/errors.py
@@ -232,21 +232,21 @@
     code = "stream_gap"
 
 
-class RetryBudgetSpent(YokedockError):
+class RetryBudgetExhausted(YokedockError):
     """The request was lost more often than its retry budget allows retries."""
 
     code = "retry_budget_spent"
     http_status = 502
 
 
-class AnswerLost(YokedockError):
+class ResponseLost(YokedockError):
     """Work on the request was started and lost, and cannot be repeated now."""
 
     code = "answer_lost"
     http_status = 503
 
 
-class CallerGone(YokedockError):
+class ClientClosedConnection(YokedockError):
     """The client closed its connection."""
 
     code = "caller_gone"
@@ -260,7 +260,7 @@
     http_status = 504
 
 
-class KeyFromBeforeRestart(OutcomeUnknown):
+class KeyPredatesHomeStart(OutcomeUnknown):
     """The key predates its home agent's start, so an earlier execution cannot be ruled out."""
 
     code = "key_from_before_restart"
--- a/src/yokedock/platform/store.py
+++ b/src/yokedock/platform/store.py
@@ -22,7 +22,7 @@
 )
 from yokedock.errors import PlatformUnavailable
 from yokedock.platform.documents import backend_entry, route_table
-from yokedock.router_errors import AnswerTooLong, HistoryGone
+from yokedock.router_errors import HistoryUnavailable, ResponseTooLarge
 from yokedock.version.route_table import RouteTable
 
 _log = logger("store")
@@ -113,7 +113,7 @@
             if position is not None and (
                 page_position.era != position.era or page_position < position
             ):
-                raise HistoryGone("the store was restored from a backup during a read")
+                raise HistoryUnavailable("the store was restored from a backup during a read")
             position = page_position if position is None else position
             items |= {item.key: item for item in page.items}
             if not page.more or not page.items:
@@ -132,13 +132,13 @@
         most_bytes = max(MIN_CHANGES_LIMIT_BYTES, round(MAX_CHANGES_RATIO * self._full_read_bytes))
         try:
             answer = await self._getter.get(target, longest_s + WATCH_SLACK_S, most_bytes)
-        except AnswerTooLong as error:
-            raise HistoryGone(
+        except ResponseTooLarge as error:
+            raise HistoryUnavailable(
                 f"the changes are over the size limit; a full read is smaller: {error}"
             ) from None
         era = self._reported_era(answer)
         if answer.status == HISTORY_GONE:
-            raise HistoryGone(f"the store has no changes after revision {position.revision}")
+            raise HistoryUnavailable(f"the store has no changes after revision {position.revision}")
         watched = _decode(answer, WatchAnswer)
         return items_to_changes(watched.events, SourcePosition(era, watched.at), self.is_unreported)
 
--- a/src/yokedock/process/caller_http.py
+++ b/src/yokedock/process/caller_http.py
@@ -13,7 +13,7 @@
 from yokedock.connection.http_server import HttpRequest, HttpResponse, HttpRouter, error_response
 from yokedock.errors import (
     BadRequest,
-    CallerGone,
+    ClientClosedConnection,
     Forbidden,
     NotFound,
     PayloadTooLarge,
@@ -157,7 +157,7 @@
             with self._watchdog.watching(context, request, stream):
                 self._models.serve(context, order, stream)
             writer.write_end(self._usage(order, stream) if wants_usage else None)
-        except CallerGone:
+        except ClientClosedConnection:
             _log.info("caller gone", request=context.request_id, tokens=len(stream.tokens))
             raise
         except YokedockError as error:
--- a/src/yokedock/process/request_intake.py
+++ b/src/yokedock/process/request_intake.py
@@ -13,7 +13,7 @@
 from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.caller_request import CallerRequest
 from yokedock.connection.dialect import Dialect
-from yokedock.errors import BadRequest, CallerGone, NotFound, NotReady, YokedockError
+from yokedock.errors import BadRequest, ClientClosedConnection, NotFound, NotReady, YokedockError
 from yokedock.process.router_metrics import NO_ROUTE, RouterMetrics
 from yokedock.process.state_follower import StateFollower
 from yokedock.request.generation_call import GenerationCalls
@@ -22,7 +22,7 @@
 from yokedock.request.request_outcome import ANSWERED
 from yokedock.request.routed_call import RoutedCall
 from yokedock.request.unary_call import UnaryCalls
-from yokedock.router_errors import BackendAnswerLost
+from yokedock.router_errors import BackendResponseLost
 from yokedock.version.route_table import Route, RouteTable, ServiceSpec
 
 _log = logger("router")
@@ -103,7 +103,7 @@
                 raise
             outcome = "ended"
             raise self._ending_error(call) from None
-        except CallerGone:
+        except ClientClosedConnection:
             outcome = "caller gone"
             raise
         except YokedockError as error:
@@ -160,7 +160,9 @@
 
     def _ending_error(self, call: RoutedCall | None) -> YokedockError:
         if call is not None and call.may_have_run:
-            return BackendAnswerLost("the router stopped before the answer came; look it up first")
+            return BackendResponseLost(
+                "the router stopped before the answer came; look it up first"
+            )
         return NotReady("the router is stopping; retry at once", AT_ONCE_S)
 
     def _log_end(
--- a/src/yokedock/process/role_balancer.py
+++ b/src/yokedock/process/role_balancer.py
@@ -15,7 +15,7 @@
 from yokedock.request.engine_ledger import EngineLedger
 from yokedock.request.engine_placement import DECODE_ROLE, PREFILL_ROLE
 from yokedock.request.role_plan import EngineRole, RoleChange, planned_role_changes
-from yokedock.router_errors import BackendBroken, BackendUnreachable
+from yokedock.router_errors import BackendResponseError, BackendUnreachable
 from yokedock.version.route_table import RouteTable, ServiceSpec
 
 _log = logger("roles")
@@ -167,5 +167,5 @@
             now_s = boot_time_s()
             backend.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             return answer.status
-        except (BackendUnreachable, BackendBroken):
+        except (BackendUnreachable, BackendResponseError):
             return None
--- a/src/yokedock/process/state_exchange.py
+++ b/src/yokedock/process/state_exchange.py
@@ -25,7 +25,7 @@
 from yokedock.connection.state_source import BackendEntry, StateSnapshot
 from yokedock.errors import BadRequest
 from yokedock.process.state_follower import GATHER_S, StateFollower
-from yokedock.router_errors import BackendBroken, BackendUnreachable
+from yokedock.router_errors import BackendResponseError, BackendUnreachable
 from yokedock.version.route_table import RouteTable
 
 _log = logger("exchange")
@@ -175,9 +175,14 @@
         try:
             answer = await short_call(self._pool, peer, ShortCall(b"GET", target.encode()), limits)
             if answer.status != OK:
-                raise BackendBroken(f"{peer} answered {answer.status}")
+                raise BackendResponseError(f"{peer} answered {answer.status}")
             snapshot = unpack(answer.body)
-        except (BackendUnreachable, BackendBroken, msgspec.MsgspecError, zlib.error) as error:
+        except (
+            BackendUnreachable,
+            BackendResponseError,
+            msgspec.MsgspecError,
+            zlib.error,
+        ) as error:
             _log.info("state not taken over", router=address, reason=str(error))
             return
         finally:
--- a/src/yokedock/process/state_follower.py
+++ b/src/yokedock/process/state_follower.py
@@ -17,7 +17,7 @@
 from yokedock.process.watch_duty import MS_PER_SECOND, NEVER, OWN_WATCH_S, WatchDuty
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.list_restoration import MISSING_GRACE_S, AppliedHistory
-from yokedock.router_errors import HistoryGone
+from yokedock.router_errors import HistoryUnavailable
 from yokedock.version.route_table import RouteIndex, RouteTable
 
 _log = logger("state")
@@ -167,7 +167,7 @@
                 if await self._follow():
                     await asyncio.sleep(GATHER_S)
                 wait_s = RETRY_S
-            except HistoryGone as error:
+            except HistoryUnavailable as error:
                 self._is_reconnecting = False
                 _log.info("must read all", reason=error.message, **self._position_fields())
                 if boot_time_s() - self._read_s < REREAD_S:
--- a/src/yokedock/request/answer_stream.py
+++ b/src/yokedock/request/answer_stream.py
@@ -10,7 +10,7 @@
 import threading
 
 from yokedock.base.clock import boot_time_s
-from yokedock.errors import AttemptLost, CallerGone, StreamGap, YokedockError
+from yokedock.errors import AttemptLost, ClientClosedConnection, StreamGap, YokedockError
 from yokedock.messages import StreamTokens
 
 
@@ -19,7 +19,7 @@
 
     @abc.abstractmethod
     def write_tokens(self, tokens: tuple[str, ...], finish: str) -> None:
-        """Write new tokens; raises ``CallerGone`` if the caller has disconnected."""
+        """Write new tokens; raises ``ClientClosedConnection`` if the caller has disconnected."""
 
     @abc.abstractmethod
     def write_error(self, error: YokedockError) -> None:
@@ -163,7 +163,7 @@
             self.clock.arrived(len(tokens))
         try:
             self._writer.write_tokens(tokens, finish)
-        except CallerGone as error:
+        except ClientClosedConnection as error:
             self._stop(error)
             return
         if finish:
--- a/src/yokedock/request/backend_exchange.py
+++ b/src/yokedock/request/backend_exchange.py
@@ -20,12 +20,12 @@
 from yokedock.request.request_digest import digest_text
 from yokedock.request.routed_call import NOT_SENT, BufferedAnswer, RoutedCall
 from yokedock.router_errors import (
-    BackendBroken,
-    BackendClosed,
+    BackendConnectionClosed,
     BackendNotAccepting,
     BackendRefused,
-    BackendSilent,
+    BackendResponseError,
     BackendUnreachable,
+    BackendUnresponsive,
 )
 
 _log = logger("exchange")
@@ -74,7 +74,8 @@
         return self._connection.is_open
 
     async def send(self, order: BackendOrder) -> None:
-        """Send the request; raises ``CallerGone`` instead if the caller has disconnected."""
+        """Send the request; raises ``ClientClosedConnection`` instead if the caller has
+        disconnected."""
         call = self._call
         call.answer.require_caller()
         headers = self._dialect.backend_headers(call.request.head, order)
@@ -105,7 +106,7 @@
         """Return the head of the response.
 
         Raises ``BackendRefused`` if the backend states that it does not run the request,
-        ``BackendBroken`` if no valid response arrives within ``timeout_s``.
+        ``BackendResponseError`` if no valid response arrives within ``timeout_s``.
         """
         try:
             async with ReadFirstTimeout(timeout_s):
@@ -114,7 +115,7 @@
             if timeout_s >= SILENT_S:
                 self.backend.health.record_silence(boot_time_s())
             message = f"{self.backend.name} sent no response within {timeout_s:.2f} s"
-            raise BackendSilent(message) from None
+            raise BackendUnresponsive(message) from None
         notes = self._notes
         assert notes is not None
         self.backend.load = notes.load or self.backend.load
@@ -126,7 +127,7 @@
                 f"{self.backend.name} refused the request with status {head.status}"
             )
         if head.get(b"content-encoding") is not None:
-            raise BackendBroken(f"{self.backend.name}: response has a Content-Encoding")
+            raise BackendResponseError(f"{self.backend.name}: response has a Content-Encoding")
         if head.status < SERVER_ERROR and not self._is_prefill:
             self._check_origin(head, notes)
         return head
@@ -148,7 +149,7 @@
                     parts.append(part)
                     time_limit.reschedule(min(clock() + patience_s, deadline_s))
         except TimeoutError:
-            raise BackendBroken(
+            raise BackendResponseError(
                 f"{self.backend.name}: response incomplete at the time limit"
             ) from None
         self.finish(is_failure=head.status >= SERVER_ERROR)
@@ -178,9 +179,9 @@
     def _check_origin(self, head: AnswerHead, notes: AnswerNotes) -> None:
         """Raise unless the response names a request and a successful one carries a signature."""
         if notes.request_id is None:
-            raise BackendBroken(f"{self.backend.name}: response names no request id")
+            raise BackendResponseError(f"{self.backend.name}: response names no request id")
         if head.status < MIN_REDIRECT_STATUS and not notes.is_signed:
-            raise BackendBroken(f"{self.backend.name}: response is not signed")
+            raise BackendResponseError(f"{self.backend.name}: response is not signed")
 
     def _matches_request(self, head: AnswerHead) -> bool:
         """Return whether a response is for this request, not an earlier one on the connection.
@@ -276,7 +277,7 @@
                 # A backend that asked for back-off has stated itself how long to avoid it.
                 backend.health.record_answer(now_s, 0.0, is_failure=True)
             raise
-        except BackendBroken as error:
+        except BackendResponseError as error:
             _log.info(
                 "answer broken off",
                 request=call.request_id,
@@ -284,9 +285,9 @@
                 backend=backend.name,
                 reason=error.message,
             )
-            if isinstance(error, BackendClosed):
+            if isinstance(error, BackendConnectionClosed):
                 exchange.record_closed()
-            if isinstance(error, BackendSilent):
+            if isinstance(error, BackendUnresponsive):
                 self._drop_silent_connections(connection, call)
             backend.health.record_broken(boot_time_s())
             raise
--- a/src/yokedock/request/cache_lookup.py
+++ b/src/yokedock/request/cache_lookup.py
@@ -18,7 +18,7 @@
 from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.routed_call import RoutedCall
-from yokedock.router_errors import BackendBroken, BackendUnreachable
+from yokedock.router_errors import BackendResponseError, BackendUnreachable
 
 _log = logger("cache")
 
@@ -109,6 +109,6 @@
             engine.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             if answer.status == OK:
                 return self._dialect.cached_parts(answer.body)
-        except (BackendUnreachable, BackendBroken, EngineRejected) as error:
+        except (BackendUnreachable, BackendResponseError, EngineRejected) as error:
             _log.info("cache listing failed", engine=engine.name, reason=error.message)
         return {}
--- a/src/yokedock/request/call_attempt.py
+++ b/src/yokedock/request/call_attempt.py
@@ -15,7 +15,7 @@
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.retry_allowance import RequestRetries, RetryAllowance
 from yokedock.request.routed_call import BufferedAnswer, RoutedCall
-from yokedock.router_errors import BackendNotAccepting, BackendSilent, BackendUnreachable
+from yokedock.router_errors import BackendNotAccepting, BackendUnreachable, BackendUnresponsive
 
 _log = logger("call")
 
@@ -93,7 +93,7 @@
         while True:
             try:
                 return await exchange.read_whole(patience_s)
-            except BackendSilent:
+            except BackendUnresponsive:
                 if patience_s >= self._registry.patience_s(backend):
                     backend.health.record_silence(boot_time_s())
                 if not exchange.is_open or call.remaining_s() <= 0:
--- a/src/yokedock/request/generation_call.py
+++ b/src/yokedock/request/generation_call.py
@@ -15,7 +15,7 @@
     EngineRejected,
     NoDecodeCapacity,
     Refused,
-    RetryBudgetSpent,
+    RetryBudgetExhausted,
     YokedockError,
 )
 from yokedock.request.backend_exchange import BackendExchanges
@@ -35,11 +35,11 @@
 from yokedock.request.silence_detector import SilenceDetector
 from yokedock.request.stream_relay import StreamRelay
 from yokedock.router_errors import (
-    BackendAnswerLost,
-    BackendBroken,
     BackendRefused,
-    BackendSilent,
+    BackendResponseError,
+    BackendResponseLost,
     BackendUnreachable,
+    BackendUnresponsive,
 )
 
 _log = logger("generation")
@@ -123,8 +123,8 @@
                 ):
                     raise self._final_error(call, error) from None
                 _log.info("again", request=call.request_id, reason=error.message)
-            except (BackendBroken, EngineRejected) as error:
-                if isinstance(error, BackendSilent):
+            except (BackendResponseError, EngineRejected) as error:
+                if isinstance(error, BackendUnresponsive):
                     state.exclude_silent_engine(placement)
                 elif state.relay.events and self._mechanisms.avoid_broken:
                     state.excluded_engines.add(placement.decode.name)
@@ -134,7 +134,7 @@
                 _log.info("again", request=call.request_id, reason=error.message)
                 if state.relay.events:
                     await self._refresh_prompt_locations(call, state)
-            except (Refused, RetryBudgetSpent) as error:
+            except (Refused, RetryBudgetExhausted) as error:
                 raise self._final_error(call, error) from None
 
     async def _refresh_prompt_locations(self, call: RoutedCall, state: GenerationState) -> None:
@@ -166,14 +166,14 @@
             self._ledger.close_stream(placement.reservation)
 
     def _set_aside(self, call: RoutedCall, state: GenerationState, placement: Placement) -> None:
-        """Reserve retry budget for all arrivals of an attempt; raises ``RetryBudgetSpent``.
+        """Reserve retry budget for all arrivals of an attempt; raises ``RetryBudgetExhausted``.
 
         If the budget covered only the prefill, that prefill would be wasted.
         """
         is_read = placement.prefill is not None and state.valid_source() is None
         arrivals = int(is_read and state.is_extra_prefill()) + int(state.is_extra_run(call))
         if not state.retries.set_aside(arrivals):
-            raise RetryBudgetSpent(f"the retry budget of {call.service.name} is exhausted")
+            raise RetryBudgetExhausted(f"the retry budget of {call.service.name} is exhausted")
 
     def _final_error(self, call: RoutedCall, error: YokedockError) -> YokedockError:
         """Return the error for the caller; it says "not run" only if that is certain."""
@@ -193,6 +193,6 @@
             return NoDecodeCapacity(message, self._placement.retry_after_s(call))
         if isinstance(error, DeadlineExceeded):
             return error
-        return BackendAnswerLost(
+        return BackendResponseLost(
             "the response was lost and the request may have run; check its result before retrying"
         )
--- a/src/yokedock/request/generation_dispatch.py
+++ b/src/yokedock/request/generation_dispatch.py
@@ -21,7 +21,7 @@
 from yokedock.request.routed_call import BufferedAnswer, RoutedCall
 from yokedock.request.silence_detector import SilenceDetector
 from yokedock.request.stream_relay import StreamRelay
-from yokedock.router_errors import BackendBroken, BackendRefused, BackendUnreachable
+from yokedock.router_errors import BackendRefused, BackendResponseError, BackendUnreachable
 
 _log = logger("generation")
 
@@ -213,7 +213,9 @@
             answer.head.status >= SERVER_ERROR
             and state.retries.reserve_retry(call, MIN_ATTEMPT_TIME_S)
         ):
-            raise BackendBroken(f"{exchange.backend.name} returned status {answer.head.status}")
+            raise BackendResponseError(
+                f"{exchange.backend.name} returned status {answer.head.status}"
+            )
         await call.answer.whole(answer.head, b"".join(parts))
 
     def release(self, source: str, cache_holder: Backend | None) -> None:
@@ -233,7 +235,7 @@
         limits = CallLimits(RELEASE_TIMEOUT_S, RELEASE_TIMEOUT_S)
         try:
             await short_call(self._exchanges.pool, address, call, limits)
-        except (BackendUnreachable, BackendBroken) as error:
+        except (BackendUnreachable, BackendResponseError) as error:
             _log.info(
                 "release failed; the KV memory will expire", address=address, reason=error.message
             )
--- a/src/yokedock/request/idempotency.py
+++ b/src/yokedock/request/idempotency.py
@@ -2,7 +2,7 @@
 
 Keys are UUIDv7, so each contains its creation time. The store is lost on a restart: a home that
 started after a key was created cannot know whether its predecessor ran it, and rejects the key with
-``KeyFromBeforeRestart``.
+``KeyPredatesHomeStart``.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from concurrent.futures import Future
 
 from yokedock.base.clock import boot_time_s
-from yokedock.errors import BadIdempotencyKey, KeyFromBeforeRestart, NotRun, Refused
+from yokedock.errors import BadIdempotencyKey, KeyPredatesHomeStart, NotRun, Refused
 from yokedock.messages import ServiceAnswer
 
 UUID_VERSION = 7
@@ -99,7 +99,7 @@
     def begin(self, key: str, now_ms: int, limits: RecordLimits) -> tuple[KeyRecord, bool]:
         """Return the key's record, and whether it is new, so that the caller must run the call.
 
-        Raises ``KeyFromBeforeRestart``, ``BadIdempotencyKey``, ``NotRun`` (tombstone) or
+        Raises ``KeyPredatesHomeStart``, ``BadIdempotencyKey``, ``NotRun`` (tombstone) or
         ``RecordFull``.
         """
         key_created_ms = check_key_window(key, now_ms, limits)
@@ -141,7 +141,7 @@
                 "the key was created before its home started, so an earlier run is possible; "
                 "check the result before a retry with a new key"
             )
-            raise KeyFromBeforeRestart(message)
+            raise KeyPredatesHomeStart(message)
         if len(self._records) >= MAX_RECORDS:
             raise RecordFull("the home's store of idempotency keys is full; retry later", 5.0)
 
--- a/src/yokedock/request/model_request.py
+++ b/src/yokedock/request/model_request.py
@@ -7,7 +7,6 @@
 from yokedock.base.clock import deadline_in, remaining_s
 from yokedock.base.logs import logger
 from yokedock.errors import (
-    AnswerLost,
     AttemptLost,
     LeaseExpired,
     NoBackend,
@@ -16,7 +15,8 @@
     Outcome,
     PeerUnreachable,
     Refused,
-    RetryBudgetSpent,
+    ResponseLost,
+    RetryBudgetExhausted,
     YokedockError,
 )
 from yokedock.request.admission import RetryBudget
@@ -78,7 +78,7 @@
                 message = (
                     f"the response was lost and the request could not be retried: {error.message}"
                 )
-                raise AnswerLost(message, error.retry_after_s) from None
+                raise ResponseLost(message, error.retry_after_s) from None
             raise
 
     def _serve(
@@ -118,7 +118,7 @@
             message = (
                 f"{context.attempts} attempts of the request were lost ({error.message}); retry"
             )
-            raise RetryBudgetSpent(message, 1.0) from None
+            raise RetryBudgetExhausted(message, 1.0) from None
 
     def _wait_for_capacity(
         self, context: RequestContext, model: str, error: Refused, capacity_deadline_s: float
--- a/src/yokedock/request/quarantine.py
+++ b/src/yokedock/request/quarantine.py
@@ -13,7 +13,7 @@
 from yokedock.errors import RequestQuarantined
 from yokedock.request.poison_requests import FORGOTTEN_S, SETTLE_S, PoisonRequests
 from yokedock.request.routed_call import RoutedCall
-from yokedock.router_errors import BackendAnswerLost
+from yokedock.router_errors import BackendResponseLost
 
 TIMER_SLACK_S = 0.005
 """Delay of the recheck beyond the settling time: timers may fire early by one clock tick."""
@@ -33,7 +33,8 @@
     async def served(self, call: RoutedCall) -> AsyncIterator[None]:
         """Serve a call unless it is quarantined, or becomes so before its response has started.
 
-        Raises ``RequestQuarantined`` if it was not run, ``BackendAnswerLost`` if it may have been.
+        Raises ``RequestQuarantined`` if it was not run, ``BackendResponseLost`` if it may have
+        been.
         """
         if self._requests.is_known():
             self._requests.require_not_quarantined(call.digest)
@@ -47,7 +48,7 @@
                 raise
             if call.may_have_run:
                 message = "backends crashed during this request; check whether it was executed"
-                raise BackendAnswerLost(message) from None
+                raise BackendResponseLost(message) from None
             message = "this request crashes backends; change it, or retry it later"
             raise RequestQuarantined(message, FORGOTTEN_S) from None
         finally:
--- a/src/yokedock/request/service_request.py
+++ b/src/yokedock/request/service_request.py
@@ -17,7 +17,7 @@
     PeerNeverReached,
     PeerUnreachable,
     Refused,
-    RetryBudgetSpent,
+    RetryBudgetExhausted,
     StaleVersion,
     YokedockError,
 )
@@ -85,7 +85,7 @@
                 last = error
             except PeerUnreachable as error:
                 if not self._budget.take():
-                    raise RetryBudgetSpent(f"{error.message}; retry later", 1.0) from None
+                    raise RetryBudgetExhausted(f"{error.message}; retry later", 1.0) from None
                 last = error
             finally:
                 peer.drop(attempt)
--- a/src/yokedock/request/silence_detector.py
+++ b/src/yokedock/request/silence_detector.py
@@ -19,7 +19,7 @@
 from yokedock.base.ordered_set import OrderedSet
 from yokedock.base.read_first_timeout import ReadFirstTimeout
 from yokedock.request.backend_incarnation import Backend
-from yokedock.router_errors import BackendSilent
+from yokedock.router_errors import BackendUnresponsive
 
 _log = logger("streams")
 
@@ -54,13 +54,13 @@
     """Timeout of the current wait, None while nothing is awaited."""
 
     async def within(self, patience_s: float, awaited: Awaitable[Result]) -> Result:
-        """Wait for ``awaited``; raises ``BackendSilent`` if it takes too long."""
+        """Wait for ``awaited``; raises ``BackendUnresponsive`` if it takes too long."""
         try:
             async with ReadFirstTimeout(patience_s) as self.limit:
                 return await awaited
         except TimeoutError:
             self.stalled(self, patience_s)
-            raise BackendSilent(f"{self.engine.name}: the stream stalled") from None
+            raise BackendUnresponsive(f"{self.engine.name}: the stream stalled") from None
         finally:
             self.limit = None
 
--- a/src/yokedock/request/stream_relay.py
+++ b/src/yokedock/request/stream_relay.py
@@ -8,7 +8,7 @@
 from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.event_stream import EventSplitter, StreamEvent
 from yokedock.connection.http_heads import AnswerHead
-from yokedock.router_errors import BackendBroken
+from yokedock.router_errors import BackendResponseError
 
 
 class StreamRelay:
@@ -42,7 +42,7 @@
     async def feed(self, head: AnswerHead, data: bytes) -> None:
         """Relay complete events; the head is sent with the first one.
 
-        Raises ``BackendBroken`` if an event is missing.
+        Raises ``BackendResponseError`` if an event is missing.
         """
         for event in self._splitter.feed(data):
             is_first = self._is_first_of_run
@@ -69,19 +69,20 @@
         self.last_s = now_s
 
     async def end(self, head: AnswerHead) -> None:
-        """End the stream; raises ``BackendBroken`` if its last event is incomplete."""
+        """End the stream; raises ``BackendResponseError`` if its last event is incomplete."""
         if self._splitter.rest.strip():
-            raise BackendBroken("the stream ended in the middle of an event")
+            raise BackendResponseError("the stream ended in the middle of an event")
         if not self._answer.has_started:
             self._answer.start(head)
         await self._answer.end()
 
     def _is_next(self, event: StreamEvent) -> bool:
-        """Return False for a duplicate; raises ``BackendBroken`` if an earlier event is missing."""
+        """Return False for a duplicate; raises ``BackendResponseError`` if an earlier event is
+        missing."""
         if event.event_id is None or self.last_id is None:
             return True
         if event.event_id <= self.last_id:
             return False
         if event.event_id > self.last_id + 1:
-            raise BackendBroken(f"event {self.last_id + 1} is missing from the stream")
+            raise BackendResponseError(f"event {self.last_id + 1} is missing from the stream")
         return True
--- a/src/yokedock/request/unary_call.py
+++ b/src/yokedock/request/unary_call.py
@@ -29,9 +29,9 @@
 from yokedock.request.routed_call import BufferedAnswer, RoutedCall
 from yokedock.request.service_supply import ServiceSupply
 from yokedock.router_errors import (
-    BackendAnswerLost,
-    BackendBroken,
     BackendRefused,
+    BackendResponseError,
+    BackendResponseLost,
     BackendUnreachable,
 )
 
@@ -107,7 +107,7 @@
                 if kept is not None:
                     return kept
                 raise self._final_error(call, error) from None
-            except (BackendRefused, BackendBroken, NoBackend) as error:
+            except (BackendRefused, BackendResponseError, NoBackend) as error:
                 is_last = isinstance(error, NoBackend) or (
                     isinstance(error, BackendRefused)
                     and not self._has_untried_backend(call, attempts.tried)
@@ -238,7 +238,7 @@
             return DeadlineExceeded(
                 "no response before the deadline and the request may have run; check its result"
             )
-        return BackendAnswerLost(
+        return BackendResponseLost(
             "the response was lost and the request may have run; check its result before a retry"
         )
 
--- a/src/yokedock/request/watchdog.py
+++ b/src/yokedock/request/watchdog.py
@@ -13,7 +13,7 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.connection.http_server import HttpRequest
-from yokedock.errors import AttemptLost, CallerGone, DeadlineExceeded
+from yokedock.errors import AttemptLost, ClientClosedConnection, DeadlineExceeded
 from yokedock.request.answer_stream import AnswerStream
 from yokedock.request.context import RequestContext
 
@@ -36,14 +36,14 @@
     def check(self, now: float) -> None:
         """End the request if its caller disconnected, its deadline passed or its stream stalled."""
         if self.request.client_disconnected():
-            self._end(CallerGone("the caller closed its connection"))
+            self._end(ClientClosedConnection("the caller closed its connection"))
         elif now >= self.context.deadline_s:
             message = "the deadline passed before the response was complete; allow more time"
             self._end(DeadlineExceeded(message))
         elif self.stream.is_running and now - self.stream.last_progress_s > STALL_TIMEOUT_S:
             self.stream.lost(AttemptLost(f"no tokens on the stream for {STALL_TIMEOUT_S} s"))
 
-    def _end(self, error: CallerGone | DeadlineExceeded) -> None:
+    def _end(self, error: ClientClosedConnection | DeadlineExceeded) -> None:
         self.context.cancel(error)
         self.stream.cancel(error)
 
--- a/src/yokedock/router_errors.py
+++ b/src/yokedock/router_errors.py
@@ -12,7 +12,7 @@
 )
 
 
-class BackendAnswerLost(YokedockError):
+class BackendResponseLost(YokedockError):
     """A backend may have executed the request, but its response was lost."""
 
     code = "backend_answer_lost"
@@ -42,14 +42,14 @@
     code = "backend_unwilling"
 
 
-class BackendBroken(EngineLost):
+class BackendResponseError(EngineLost):
     """The connection ended or returned an invalid response after the request was sent."""
 
     code = "backend_broken"
     http_status = 502
 
 
-class BackendClosed(BackendBroken):
+class BackendConnectionClosed(BackendResponseError):
     """The backend closed or reset the connection before its response was complete.
 
     The backend may have terminated.
@@ -58,7 +58,7 @@
     code = "backend_closed"
 
 
-class AnswerTooLong(BackendBroken):
+class ResponseTooLarge(BackendResponseError):
     """The response is larger than the limit set by the caller."""
 
     code = "answer_too_long"
@@ -78,13 +78,13 @@
     http_status = 408
 
 
-class HistoryGone(PlatformUnavailable):
+class HistoryUnavailable(PlatformUnavailable):
     """The changes since a position are unavailable or too many; a full read is required."""
 
     code = "history_gone"
 
 
-class BackendSilent(BackendBroken):
+class BackendUnresponsive(BackendResponseError):
     """The backend sent no response to a request in time: it may be hung or unreachable."""
 
     code = "backend_silent"
