--- a/src/yokedock/connection/peer_client.py
+++ b/src/yokedock/connection/peer_client.py
@@ -1,8 +1,8 @@
-"""The dialling end of a link: one actor for each agent that this process talks to.
+"""The dialing side of a link: one actor for each agent that this process connects to.
 
-``AgentPeer`` is the task of one peer. Its reader thread dials, shakes hands, reads frames and,
-when the link is lost, dials again after a random pause. The actor owns the pending calls, the
-attempts held at the agent and the streams that come from it, so none of these needs a lock.
+Each ``AgentPeer`` actor has a reader thread that dials, performs the handshake, reads frames and,
+when the connection is lost, redials after a random delay. The actor owns the pending calls, the
+attempts held at the agent and the streams received from it, so none of these needs a lock.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class AgentPeer(pykka.ThreadingActor):
-    """The task of one agent as seen from a process that dials it."""
+    """Manages the connection from this process to one agent."""
 
     use_daemon_thread = True
 
@@ -63,7 +63,7 @@
         context: PeerContext,
         view: PeerView,
     ) -> None:
-        """Prepare the task; the reader starts with the actor."""
+        """Initialize the actor; the reader thread starts in ``on_start``."""
         super().__init__()
         self._name = name
         self._address = address
@@ -76,17 +76,17 @@
         self._pending: dict[int, Future[Any]] = {}
         self._held: dict[str, StreamSink | None] = {}
         self._pending_parts: dict[str, list[StreamTokens]] = {}
-        self._heartbeat_s = 0.0
-        self._unanswered_s = 0.0
-        """When the oldest heartbeat since the last frame was sent; 0: none is unanswered."""
+        self._last_heartbeat_s = 0.0
+        self._unanswered_since_s = 0.0
+        """Send time of the oldest heartbeat since the last received frame; 0 if there is none."""
         self._reader = self._new_reader()
 
     def on_start(self) -> None:
-        """Start reading."""
+        """Start the reader thread."""
         self._reader.start()
 
     def on_stop(self) -> None:
-        """Stop reading and fail whatever waits."""
+        """Stop the reader thread and fail all pending calls and streams."""
         self._reader.stop()
         self._drop_link()
 
@@ -94,11 +94,13 @@
         return PeerReader(self._address, self._identity, self._timing, self.actor_ref)
 
     def on_receive(self, message: Any) -> Any:
-        """Handle one message; a failure is logged, since the link must outlive it."""
+        """Handle one message; exceptions are logged and do not stop the actor."""
         try:
             self._handle(message)
         except Exception:
-            _log.exception("message failed", peer=self._name, message=type(message).__name__)
+            _log.exception(
+                "message handling failed", peer=self._name, message=type(message).__name__
+            )
 
     def _handle(self, message: Any) -> None:
         match message:
@@ -122,10 +124,10 @@
             self._deliver_parts()
 
     def _send_call(self, call: SendCall) -> None:
-        self._renew_before_order()
+        self._renew_idle_lease()
         if call.attempt:
             self._held[call.attempt] = call.sink or self._held.get(call.attempt)
-            self._view.tick_due_s = self._heartbeat_due_s()
+            self._view.heartbeat_due_s = self._heartbeat_due_s()
         if self._session is None:
             if call.reply is not None:
                 message = f"{self._name} at {self._address} is not connected; retry shortly"
@@ -138,9 +140,13 @@
             self._pending[number] = call.reply
         self._send(Frame(number, call.message))
 
-    def _renew_before_order(self) -> None:
-        """An idle peer's lease may have ended: renew it ahead of the order, on the same link."""
-        age_s = boot_time_s() - self._heartbeat_s
+    def _renew_idle_lease(self) -> None:
+        """Renew the lease of an idle peer before a command: idle peers get few heartbeats.
+
+        The heartbeat goes ahead of the command over the same connection, because the lease may
+        have expired.
+        """
+        age_s = boot_time_s() - self._last_heartbeat_s
         if not self._held and age_s * 1000 > self._timing.heartbeat_ms:
             self._heartbeat()
 
@@ -161,35 +167,35 @@
             self._send(Frame(0, Release(attempt)))
 
     def _tick(self) -> None:
-        """Send a heartbeat if one is due; a peer that leaves one unanswered too long is lost."""
+        """Send a heartbeat if one is due; drop the link if an earlier one timed out."""
         if self._session is None:
             return
         now = boot_time_s()
         patience_ms = self._timing.lease_ms - self._timing.heartbeat_ms
-        if self._unanswered_s and (now - self._unanswered_s) * 1000 > patience_ms:
+        if self._unanswered_since_s and (now - self._unanswered_since_s) * 1000 > patience_ms:
             self._link_down(LinkDown(self._reader))
             return
         if now >= self._heartbeat_due_s():
             self._heartbeat()
 
     def _heartbeat_due_s(self) -> float:
-        """Return when the next heartbeat is due; half an interval early, since ticks are coarse."""
+        """Return when the next heartbeat is due: half an interval early, as ticks are coarse."""
         interval_ms = self._timing.heartbeat_ms
-        if not self._held and self._is_settled():
-            interval_ms = self._timing.longest_heartbeat_ms
-        return self._heartbeat_s + (interval_ms - self._timing.heartbeat_ms / 2) / 1000
+        if not self._held and self._is_up_to_date():
+            interval_ms = self._timing.max_heartbeat_interval_ms
+        return self._last_heartbeat_s + (interval_ms - self._timing.heartbeat_ms / 2) / 1000
 
-    def _is_settled(self) -> bool:
-        """Return whether the peer is ready under the version in force: nothing new is awaited."""
+    def _is_up_to_date(self) -> bool:
+        """Return whether the peer is ready and has the version in force here."""
         load = self._view.load
         return load is not None and load.ready and self._view.stamp == self._context.stamp()
 
     def _heartbeat(self) -> None:
-        self._forget_settled()
+        self._discard_completed_calls()
         if self._session is None:
             return
-        self._heartbeat_s = boot_time_s()
-        self._unanswered_s = self._unanswered_s or self._heartbeat_s
+        self._last_heartbeat_s = boot_time_s()
+        self._unanswered_since_s = self._unanswered_since_s or self._last_heartbeat_s
         demand = self._context.demand()
         heartbeat = Heartbeat(
             self._context.stamp(),
@@ -200,8 +206,8 @@
         )
         self._send(Frame(0, heartbeat))
 
-    def _forget_settled(self) -> None:
-        """Forget calls whose caller stopped waiting."""
+    def _discard_completed_calls(self) -> None:
+        """Discard calls whose future is already done, such as those that were cancelled."""
         settled = [number for number, future in self._pending.items() if future.done()]
         for number in settled:
             del self._pending[number]
@@ -209,22 +215,22 @@
     def _frame_arrived(self, arrived: FrameArrived) -> None:
         if arrived.reader is not self._reader:
             return
-        self._unanswered_s = 0.0
+        self._unanswered_since_s = 0.0
         message = arrived.frame.message
         if arrived.frame.call:
-            self._replied(arrived.frame.call, message)
+            self._handle_reply(arrived.frame.call, message)
         elif isinstance(message, StepFrame):
             for part in message.streams:
                 self._pending_parts.setdefault(part.attempt, []).append(part)
         elif isinstance(message, HeartbeatReply):
-            self._heartbeat_replied(message)
+            self._handle_heartbeat_reply(message)
         elif isinstance(message, OfferBundle):
             self._context.bundle_offered(self._view.handle(), message.envelope)
         elif isinstance(message, FetchSections):
             self._send(Frame(0, BundleSections(self._context.sections(message.digests))))
 
     def _deliver_parts(self) -> None:
-        """Hand on what has gathered; a stream that is behind gets its parts joined."""
+        """Deliver the collected parts; consecutive parts of a stream are merged."""
         gathered, self._pending_parts = self._pending_parts, {}
         for attempt, parts in gathered.items():
             sink = self._held.get(attempt)
@@ -232,16 +238,16 @@
                 for part in join_parts(parts):
                     sink.offer(part)
 
-    def _heartbeat_replied(self, reply: HeartbeatReply) -> None:
+    def _handle_heartbeat_reply(self, reply: HeartbeatReply) -> None:
         self._view.update(reply)
-        self._view.tick_due_s = self._heartbeat_due_s()
+        self._view.heartbeat_due_s = self._heartbeat_due_s()
         for attempt in reply.lost:
             sink = self._held.get(attempt)
             if sink is not None:
                 sink.lost(PeerUnreachable(f"{self._name} no longer holds the attempt"))
         self._context.peer_stamp_seen(self._view.handle(), reply.stamp)
 
-    def _replied(self, number: int, message: Message) -> None:
+    def _handle_reply(self, number: int, message: Message) -> None:
         future = self._pending.pop(number, None)
         if future is None:
             return
@@ -261,7 +267,7 @@
         self._heartbeat()
 
     def _link_down(self, link: LinkDown) -> None:
-        """Dial again at once with a new reader; the old one ends by itself."""
+        """Start a new reader, which redials; the old one stops on its own."""
         if link.reader is not self._reader:
             return
         self._reader.stop()
@@ -270,11 +276,11 @@
         self._reader.start()
 
     def _drop_link(self) -> None:
-        """Fail whatever waits for the link."""
+        """Mark the peer as disconnected and fail its pending calls and streams."""
         self._session = None
-        self._unanswered_s = 0.0
+        self._unanswered_since_s = 0.0
         self._view.disconnected()
-        error = PeerUnreachable(f"the link to {self._name} broke; look at the agent's logs")
+        error = PeerUnreachable(f"the connection to {self._name} was lost; check the agent's logs")
         pending, self._pending = self._pending, {}
         for future in pending.values():
             settle(future, error=error)
@@ -285,7 +291,7 @@
 
 
 def join_parts(parts: list[StreamTokens]) -> list[StreamTokens]:
-    """Join parts that follow one another without a gap."""
+    """Merge parts with consecutive sequence numbers."""
     joined = [parts[0]]
     for part in parts[1:]:
         last = joined[-1]
@@ -306,9 +312,9 @@
     timing: PeerTiming,
     context: PeerContext,
 ) -> AgentPeerHandle:
-    """Start the task of one peer and return the handle to it."""
+    """Start the actor for one peer and return its handle."""
     view = PeerView(name, zone)
-    reference = AgentPeer.start(name, address, identity, timing, context, view)
-    handle = AgentPeerHandle(view, address, reference)
+    actor_ref = AgentPeer.start(name, address, identity, timing, context, view)
+    handle = AgentPeerHandle(view, address, actor_ref)
     view.attach(handle)
     return handle
--- a/src/yokedock/connection/peer_listener.py
+++ b/src/yokedock/connection/peer_listener.py
@@ -1,8 +1,8 @@
-"""The listening end of links: an agent's one address, and one session for each connection.
+"""The listening side of links: one address for an agent, and one session for each connection.
 
-The listener's thread reads every packet, shakes hands, and hands sealed frames to the task of the
-gateway (or agent) that they come from. The address is bound exclusively: a second agent on the
-same machine cannot start.
+The listener's thread reads all packets, performs handshakes, and passes decrypted frames to the
+frame handler. The address is bound exclusively, so a second agent cannot start on the same
+machine.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from yokedock.base.logs import logger
 from yokedock.connection.peer_socket import (
-    BUFFERED_FRAMES,
-    PACKETS_UNDER_WAY,
+    MAX_PACKETS_IN_FLIGHT,
+    MAX_QUEUED_FRAMES,
     RECEIVE_LIMIT_BYTES,
     SEND_TIMEOUT_MS,
 )
@@ -36,12 +36,12 @@
 
 _log = logger("listener")
 
-STOP_CHECK_MS = 500
-"""How often the listening thread looks whether it is to stop."""
+STOP_POLL_MS = 500
+"""How often the listener's thread checks whether it should stop."""
 
 
 class PeerConnection:
-    """One accepted connection: who is at the other end, and how to answer it."""
+    """One accepted connection, with the identity of the peer that opened it."""
 
     def __init__(
         self, number: int, pipe: pynng.nng.Pipe, hello: Hello, session: SecureSession
@@ -53,55 +53,56 @@
         self._pipe = pipe
         self._session = session
         self._closed = False
-        self._under_way = 0
-        """Packets sent that the other end has not said it took; guarded by the session's lock."""
-        self._unsent: collections.deque[Frame] = collections.deque()
+        self._packets_in_flight = 0
+        """Number of packets sent but not acknowledged; guarded by the session's ``send_lock``."""
+        self._send_queue: collections.deque[Frame] = collections.deque()
 
     def send(self, message: Message, call: int = 0) -> bool:
-        """Send a message, as the reply to ``call`` if given; return whether it was taken over.
+        """Send or queue a message, as the reply to ``call`` if given; return whether it was taken.
 
-        It waits its turn while as many packets are under way as the library keeps without loss.
+        The message is queued while ``MAX_PACKETS_IN_FLIGHT`` packets are unacknowledged, because
+        the library would drop any more.
         """
         with self._session.send_lock:
-            if self._closed or len(self._unsent) >= BUFFERED_FRAMES:
+            if self._closed or len(self._send_queue) >= MAX_QUEUED_FRAMES:
                 self._closed = True
                 return False
-            self._unsent.append(Frame(call, message))  # type: ignore[arg-type]
-            return self._send_waiting()
+            self._send_queue.append(Frame(call, message))  # type: ignore[arg-type]
+            return self._send_queued()
 
-    def packets_taken(self, count: int) -> None:
-        """Note that the other end took ``count`` packets, and send what waited for that."""
+    def packets_acknowledged(self, count: int) -> None:
+        """Record that the peer acknowledged ``count`` packets, and send queued frames."""
         with self._session.send_lock:
-            self._under_way = max(0, self._under_way - count)
-            self._send_waiting()
+            self._packets_in_flight = max(0, self._packets_in_flight - count)
+            self._send_queued()
 
-    def _send_waiting(self) -> bool:
-        """Send what may go now; return whether the connection is still of use."""
+    def _send_queued(self) -> bool:
+        """Send queued frames as the window allows; return whether the connection is usable."""
         try:
-            while self._unsent and self._under_way < PACKETS_UNDER_WAY:
-                packet = self._session.seal(self._unsent.popleft())
-                self._under_way += 1
+            while self._send_queue and self._packets_in_flight < MAX_PACKETS_IN_FLIGHT:
+                packet = self._session.seal(self._send_queue.popleft())
+                self._packets_in_flight += 1
                 self._pipe.send(packet)
         except pynng.NNGException:
             self._closed = True
         return not self._closed
 
     def open(self, packet: Sealed) -> Frame:
-        """Open a packet of this connection; raises ``PeerNotAuthenticated``."""
+        """Decrypt a packet of this connection; raises ``PeerNotAuthenticated``."""
         return self._session.open(packet)
 
     def close(self) -> None:
-        """Send nothing more."""
+        """Mark the connection as closed; nothing more is sent."""
         self._closed = True
 
-    def hang_up(self) -> None:
-        """Close the connection; the other end will dial again."""
+    def disconnect(self) -> None:
+        """Close the connection; the peer will redial."""
         self._closed = True
         close_pipe(self._pipe)
 
 
 def close_pipe(pipe: pynng.nng.Pipe) -> None:
-    """Close a connection that the other end, or another thread, may have closed already."""
+    """Close a connection that the peer or another thread may already have closed."""
     with contextlib.suppress(pynng.NNGException):
         pipe.close()
 
@@ -110,7 +111,7 @@
 
 
 class PeerListener:
-    """Accepts connections at one address."""
+    """Accepts connections on one address."""
 
     def __init__(
         self,
@@ -121,7 +122,7 @@
         on_frame: FrameHandler,
         on_closed: Callable[[PeerConnection], None],
     ) -> None:
-        """Bind the address; raises ``SettingsInvalid`` when another process holds it."""
+        """Bind the address; raises ``SettingsInvalid`` if that fails, such as when it is in use."""
         self._name = name
         self._incarnation = incarnation
         self._key = key
@@ -133,32 +134,32 @@
         self._socket = pynng.Pair1(
             polyamorous=True,
             send_timeout=SEND_TIMEOUT_MS,
-            recv_timeout=STOP_CHECK_MS,
+            recv_timeout=STOP_POLL_MS,
             recv_max_size=RECEIVE_LIMIT_BYTES,
-            send_buffer_size=BUFFERED_FRAMES,
-            recv_buffer_size=BUFFERED_FRAMES,
+            send_buffer_size=MAX_QUEUED_FRAMES,
+            recv_buffer_size=MAX_QUEUED_FRAMES,
         )
         self._socket.add_post_pipe_remove_cb(self._pipe_removed)
         try:
             self._socket.listen(f"tcp://{address}")
         except pynng.NNGException as error:
             self._socket.close()
-            message = f"cannot listen on {address} ({error}); free the address or name another"
+            message = f"cannot listen on {address} ({error}); free the address or configure another"
             raise SettingsInvalid(message) from None
         self.address = str(self._socket.listeners[0].local_address)
         self._thread = threading.Thread(target=self._run, name="peer listener", daemon=True)
 
     def start(self) -> None:
-        """Begin to read."""
+        """Start the listener's thread."""
         self._thread.start()
 
     def hang_up_all(self) -> None:
-        """Close every connection, with whatever it still had to say."""
+        """Close every connection, discarding its queued frames."""
         for connection in list(self._connections.values()):
-            connection.hang_up()
+            connection.disconnect()
 
     def close(self) -> None:
-        """Close all connections and free the address, within ``STOP_CHECK_MS``."""
+        """Close all connections and release the address, within ``STOP_POLL_MS``."""
         self._stopping.set()
         if self._thread.is_alive():
             self._thread.join()
@@ -170,26 +171,26 @@
             except pynng.Timeout:
                 continue
             try:
-                self._packet_arrived(message.pipe, message.bytes)
+                self._handle_packet(message.pipe, message.bytes)
             except PeerNotAuthenticated as error:
                 _log.warning("connection closed", error=error.message)
                 close_pipe(message.pipe)
             except Exception:
-                _log.exception("packet failed")
-        # Only the thread that receives may close the socket: see peer_socket.
+                _log.exception("packet handling failed")
+        # Only the receiving thread may close the socket; see ``peer_socket``.
         self._socket.close()
 
-    def _packet_arrived(self, pipe: pynng.nng.Pipe, data: bytes) -> None:
+    def _handle_packet(self, pipe: pynng.nng.Pipe, data: bytes) -> None:
         packet = decode_packet(data)
         if isinstance(packet, Hello):
             self._accept(pipe, packet)
             return
         connection = self._connections.get(pipe.id)
         if connection is None or not isinstance(packet, Sealed):
-            raise PeerNotAuthenticated("a packet came before the handshake; it was dropped")
+            raise PeerNotAuthenticated("received a packet before the handshake; it was dropped")
         frame = connection.open(packet)
         if isinstance(frame.message, PacketsTaken):
-            connection.packets_taken(frame.message.count)
+            connection.packets_acknowledged(frame.message.count)
         else:
             self._on_frame(connection, frame)
 
--- a/src/yokedock/connection/peer_types.py
+++ b/src/yokedock/connection/peer_types.py
@@ -1,4 +1,4 @@
-"""What the parts of a peer's task share: who speaks, how often, and the messages of its inbox."""
+"""Types shared by the modules that manage a peer: identity, timing and actor messages."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 
 
 class StreamSink(Protocol):
-    """Receives what one attempt's stream brings. Called from the peer's task."""
+    """Receives the tokens of one attempt's stream. Called on the peer's actor thread."""
 
     def offer(self, part: StreamTokens) -> None:
-        """Take the stream's next tokens."""
+        """Accept the stream's next tokens."""
 
     def lost(self, error: YokedockError) -> None:
-        """The stream cannot go on over this link as it is."""
+        """Handle the loss of the stream: it cannot continue over this link without recovery."""
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerIdentity:
-    """Who this process is, towards its peers."""
+    """Identity of this process as presented to its peers."""
 
     name: str
     incarnation: int
@@ -33,7 +33,7 @@
 class PeerTiming:
     """Heartbeat intervals and lease, in milliseconds.
 
-    ``idle_heartbeat_ms`` holds for peers at which nothing is held; 0 stands for ``heartbeat_ms``.
+    ``idle_heartbeat_ms`` applies to peers without held attempts; 0 means ``heartbeat_ms``.
     """
 
     heartbeat_ms: int
@@ -41,19 +41,19 @@
     idle_heartbeat_ms: int = 0
 
     @property
-    def longest_heartbeat_ms(self) -> int:
-        """Return the longest time between two heartbeats to one peer."""
+    def max_heartbeat_interval_ms(self) -> int:
+        """Return the maximum interval between heartbeats to one peer."""
         return max(self.heartbeat_ms, self.idle_heartbeat_ms)
 
     @property
     def silence_ms(self) -> int:
-        """Return how long a link may be silent while nothing is held over it."""
-        return self.longest_heartbeat_ms + self.lease_ms
+        """Return how long a link may be idle before it counts as lost."""
+        return self.max_heartbeat_interval_ms + self.lease_ms
 
 
 @dataclasses.dataclass(frozen=True)
 class DemandSignal:
-    """What this gateway asked for in the last interval: seconds of prefill, slots of decode."""
+    """Demand of this gateway in the last interval: seconds of prefill and slots of decode."""
 
     prefill: float = 0.0
     decode: float = 0.0
@@ -61,9 +61,9 @@
 
 @dataclasses.dataclass(frozen=True)
 class SendCall:
-    """Send a message; ``reply`` is None where no reply is wanted.
+    """Send a message; ``reply`` is None if no reply is expected.
 
-    ``attempt`` names an attempt to hold from now on, ``sink`` receives its stream.
+    ``attempt`` identifies an attempt to hold from now on; ``sink`` receives its stream.
     """
 
     message: AnyMessage
@@ -74,28 +74,28 @@
 
 @dataclasses.dataclass(frozen=True)
 class DropAttempt:
-    """The attempt is over here: stop holding it and tell the agent."""
+    """Stop holding an attempt and send the agent a release."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True)
 class HeartbeatDue:
-    """The process's ticker passes by: send a heartbeat if it is time for one."""
+    """Tick of the ``HeartbeatTicker``: send a heartbeat if one is due."""
 
 
 @dataclasses.dataclass(frozen=True)
 class HeartbeatNow:
-    """Send a heartbeat at once: there is a new version to tell of."""
+    """Send a heartbeat immediately, to announce a new version."""
 
 
 @dataclasses.dataclass(frozen=True)
 class RedialEarly:
-    """Redial after a short pause: a request is waiting for the peer."""
+    """Redial after a short delay, because a request is waiting for the peer."""
 
 
 def settle(future: Future[Any], result: Any = None, error: BaseException | None = None) -> None:
-    """Give a future its result or error; do nothing if it has one already."""
+    """Set a future's result or error; do nothing if the future is already done."""
     try:
         if error is not None:
             future.set_exception(error)
--- a/src/yokedock/connection/peer_view.py
+++ b/src/yokedock/connection/peer_view.py
@@ -1,4 +1,4 @@
-"""What is known of a peer, and the handle by which any thread calls it."""
+"""The known state of a peer, and the thread-safe handle for calling it."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class PeerView:
-    """What is known of a peer, readable from any thread: updated only by the peer's task."""
+    """Known state of a peer: readable from any thread, updated only by the peer's actor."""
 
     def __init__(self, name: str, zone: str) -> None:
-        """Start as not connected."""
+        """Start in the disconnected state."""
         self.name = name
         self.zone = zone
         self.is_connected = False
@@ -34,33 +34,33 @@
         self.load_at_s = 0.0
         self.stamp = BundleStamp(0, "")
         self.incarnation = 0
-        self.tick_due_s = 0.0
-        """When the peer's task wants to be woken for a heartbeat, seconds of boot time."""
+        self.heartbeat_due_s = 0.0
+        """Boot time in seconds from which the peer's actor needs a tick to send its heartbeat."""
         self._handle: AgentPeerHandle | None = None
         self._cached_blocks: dict[int, None] = {}
 
     def attach(self, handle: AgentPeerHandle) -> None:
-        """Remember the handle through which the peer is called."""
+        """Set the handle for calling the peer."""
         self._handle = handle
 
     def handle(self) -> AgentPeerHandle:
-        """Return the handle through which the peer is called."""
+        """Return the handle for calling the peer."""
         assert self._handle is not None
         return self._handle
 
     def connected(self, incarnation: int) -> None:
-        """Note a new connection."""
+        """Record a new connection."""
         self.is_connected = True
         self.incarnation = incarnation
 
     def disconnected(self) -> None:
-        """Note the loss of the connection; the old load report is worth nothing now."""
+        """Record the loss of the connection and discard the outdated load report."""
         self.is_connected = False
         self.load = None
-        self.tick_due_s = 0.0
+        self.heartbeat_due_s = 0.0
 
     def update(self, reply: HeartbeatReply) -> None:
-        """Take over what a heartbeat's reply says."""
+        """Apply a heartbeat reply."""
         if reply.incarnation != self.incarnation or not reply.cache_complete:
             self._cached_blocks.clear()
         self.incarnation = reply.incarnation
@@ -72,29 +72,29 @@
             self._cached_blocks[block] = None
 
     def update_load(self, load: LoadReport) -> None:
-        """Take over a newer load report."""
+        """Store a newer load report."""
         self.load = load
         self.load_at_s = boot_time_s()
 
     def caches(self, block: int) -> bool:
-        """Return whether the peer's engine is thought to cache the block: a hint, never a fact."""
+        """Return whether the peer's engine probably has the block in its cache; only a hint."""
         return block in self._cached_blocks
 
 
 class AgentPeerHandle:
     """Calls one agent from any thread."""
 
-    def __init__(self, view: PeerView, address: str, reference: pykka.ActorRef[Any]) -> None:
-        """Wrap the peer's actor."""
+    def __init__(self, view: PeerView, address: str, actor_ref: pykka.ActorRef[Any]) -> None:
+        """Wrap the reference to the peer's actor."""
         self.view = view
         self.name = view.name
         self.address = address
-        self._reference = reference
+        self._actor_ref = actor_ref
 
     def call(
         self, message: AnyMessage, attempt: str = "", sink: StreamSink | None = None
     ) -> Future[Any]:
-        """Send ``message``; the future gets the reply or a typed error."""
+        """Send ``message``; the returned future gets the reply or a typed error."""
         future: Future[Any] = Future()
         self._tell(SendCall(message, future, attempt, sink), future)
         return future
@@ -108,24 +108,24 @@
         self._tell(DropAttempt(attempt), None)
 
     def tick(self) -> None:
-        """Send a heartbeat if it is time for one."""
+        """Send a heartbeat if one is due."""
         self._tell(HeartbeatDue(), None)
 
     def heartbeat_now(self) -> None:
-        """Send a heartbeat at once."""
+        """Send a heartbeat immediately."""
         self._tell(HeartbeatNow(), None)
 
     def redial_early(self) -> None:
-        """Redial after a short pause if the peer is not connected."""
+        """Redial after a short delay if the peer is not connected."""
         self._tell(RedialEarly(), None)
 
     def stop(self) -> None:
-        """End the peer's task."""
-        self._reference.stop(block=False)
+        """Stop the peer's actor."""
+        self._actor_ref.stop(block=False)
 
     def _tell(self, message: Any, future: Future[Any] | None) -> None:
         try:
-            self._reference.tell(message)
+            self._actor_ref.tell(message)
         except pykka.ActorDeadError:
             if future is not None:
                 error = PeerNeverReached(f"{self.name} was removed from the bundle; retry", 1.0)
@@ -133,7 +133,7 @@
 
 
 class PeerContext(Protocol):
-    """What a peer's task needs from its process."""
+    """What a peer's actor needs from its process."""
 
     def stamp(self) -> BundleStamp:
         """Return the stamp of the version in force here."""
@@ -142,10 +142,10 @@
         """Return the demand signal to send."""
 
     def peer_stamp_seen(self, peer: AgentPeerHandle, stamp: BundleStamp) -> None:
-        """Compare a peer's version with the one in force here."""
+        """Compare a peer's bundle version with the one in force here."""
 
     def bundle_offered(self, peer: AgentPeerHandle, envelope: bytes) -> None:
-        """Consider an envelope that a peer handed over."""
+        """Handle a bundle envelope offered by a peer."""
 
     def sections(self, digests: tuple[str, ...]) -> tuple[bytes, ...]:
-        """Return sections by digest."""
+        """Return the bundle sections with the given digests."""
--- a/src/yokedock/connection/secure_session.py
+++ b/src/yokedock/connection/secure_session.py
@@ -1,9 +1,9 @@
 """Authenticated, encrypted frames between the system's processes.
 
-Both ends hold the deployment's key. The dialling end opens with a random nonce, the listening end
-answers with one of its own, and both derive a key for this connection alone (keyed BLAKE2b). Every
-later frame is sealed with ChaCha20-Poly1305; its nonce is the direction and a counter without gaps,
-so a frame that is altered, replayed or from a stranger is never listened to, and the loss of one
+Both sides hold the deployment's pre-shared key. The dialer sends a random nonce, the listener
+replies with its own, and both derive a key for this connection (keyed BLAKE2b). All later frames
+are sealed with ChaCha20-Poly1305. The AEAD nonce consists of the direction and a counter without
+gaps, so frames that were altered, replayed or sent without the key are rejected, and a lost frame
 (the socket drops frames for a peer that does not read) ends the connection.
 """
 
@@ -24,7 +24,7 @@
 NONCE_BYTES = 16
 KEY_BYTES = 32
 LOOPBACK_KEY = bytes(KEY_BYTES)
-"""Stands in for the deployment's key where the settings name none (loopback only)."""
+"""Used when the settings do not name a deployment key (loopback only)."""
 
 _COUNTER = struct.Struct(">Q")
 _FROM_DIALER = b"dial"
@@ -32,7 +32,7 @@
 
 
 class Hello(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """First frame from the dialling end: who it says it is. Believed after the first sealed one."""
+    """First packet from the dialer: its identity, unverified until a sealed packet is opened."""
 
     nonce: bytes
     name: str
@@ -40,7 +40,7 @@
 
 
 class Welcome(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """First frame from the listening end."""
+    """First packet from the listener."""
 
     nonce: bytes
     name: str
@@ -48,7 +48,7 @@
 
 
 class Sealed(msgspec.Struct, frozen=True, array_like=True, tag=True):
-    """Any later frame."""
+    """Any later packet: an encrypted frame."""
 
     counter: int
     content: bytes
@@ -64,25 +64,25 @@
 
 
 def encode_packet(packet: Hello | Welcome | Sealed) -> bytes:
-    """Return the packet's bytes."""
+    """Encode a packet."""
     return _ENCODER.encode(packet)
 
 
 def decode_packet(data: bytes) -> Hello | Welcome | Sealed:
-    """Parse a packet; raises ``PeerNotAuthenticated`` on anything else."""
+    """Decode a packet; raises ``PeerNotAuthenticated`` if the data is not one."""
     try:
         packet: Hello | Welcome | Sealed = _DECODER.decode(data)
     except msgspec.MsgspecError:
-        message = "a peer sent something else than a packet; check what dials this address"
+        message = "a peer sent an invalid packet; check what connects to this address"
         raise PeerNotAuthenticated(message) from None
     return packet
 
 
 class SecureSession:
-    """Seals and opens the frames of one connection."""
+    """Encrypts and decrypts the frames of one connection."""
 
     def __init__(self, key: bytes, hello: Hello, welcome: Welcome, dialer: bool) -> None:
-        """Derive the connection's key; ``dialer`` tells which end this is."""
+        """Derive the connection's key; ``dialer`` is true on the dialing side."""
         material = hello.nonce + welcome.nonce
         self._cipher = ChaCha20Poly1305(
             hashlib.blake2b(material, key=key, digest_size=KEY_BYTES).digest()
@@ -92,28 +92,28 @@
         self._sent = 0
         self._received = 0
         self.send_lock = threading.Lock()
-        """Held by a sender from ``seal`` until the packet is handed to the socket."""
+        """Held from ``seal`` until the packet is passed to the socket, to keep packets in order."""
 
     def seal(self, frame: Frame) -> bytes:
-        """Return the sealed packet of ``frame``; the caller holds ``send_lock``."""
+        """Encrypt ``frame`` into a packet; the caller must hold ``send_lock``."""
         self._sent += 1
         nonce = self._send_prefix + _COUNTER.pack(self._sent)
         content = self._cipher.encrypt(nonce, encode_frame(frame), None)
         return _ENCODER.encode(Sealed(self._sent, content))
 
     def open(self, packet: Sealed) -> Frame:
-        """Return the frame of a packet.
+        """Decrypt a packet and return its frame.
 
-        Raises ``PeerNotAuthenticated`` when it was altered, replayed, or when packets before it
-        were lost; the connection is then of no use and must be closed.
+        Raises ``PeerNotAuthenticated`` if the packet was altered or replayed, or if an earlier
+        packet was lost; the connection must then be closed.
         """
         if packet.counter != self._received + 1:
-            raise PeerNotAuthenticated("packets were lost or repeated; the link is set up again")
+            raise PeerNotAuthenticated("packets were lost or repeated; reconnecting")
         nonce = self._receive_prefix + _COUNTER.pack(packet.counter)
         try:
             content = self._cipher.decrypt(nonce, packet.content, None)
         except InvalidTag:
-            message = "the peer holds another key; give every process the same deployment key"
+            message = "the peer uses a different key; configure the same deployment key everywhere"
             raise PeerNotAuthenticated(message) from None
         self._received = packet.counter
         return decode_frame(content)
