--- a/src/yokedock/connection/bundle_exchange.py
+++ b/src/yokedock/connection/bundle_exchange.py
@@ -1,8 +1,8 @@
-"""Passes bundles between peers: whoever is behind fetches from whoever is ahead.
+"""Synchronizes bundles between peers: the one with the older version fetches the newer.
 
-Every heartbeat and its reply carry a stamp (version, digest). The dialling end fetches when it is
-behind and offers when it is ahead; the listening end that is offered a bundle asks for the sections
-it lacks over the same connection.
+Every heartbeat and its reply carry a stamp (version, digest). The dialer fetches the bundle if its
+own version is older and offers its bundle if it is newer. A listener that is offered a bundle
+requests the sections it lacks over the same connection.
 """
 
 from __future__ import annotations
@@ -30,10 +30,10 @@
 
 
 class BundleExchange:
-    """Keeps the store of one process level with its peers."""
+    """Synchronizes the bundle store of one process with its peers."""
 
     def __init__(self, store: BundleStore) -> None:
-        """Exchange for ``store``."""
+        """Synchronize ``store``."""
         self._store = store
         self._worker = ThreadPoolExecutor(1, "bundle exchange")
         self._lock = threading.Lock()
@@ -41,13 +41,13 @@
         self._offered_envelope = b""
 
     def stop(self) -> None:
-        """End the worker."""
+        """Stop the worker thread."""
         self._worker.shutdown(wait=False, cancel_futures=True)
 
-    # --- Dialling end ---
+    # --- Dialing side ---
 
     def peer_stamp_seen(self, peer: AgentPeerHandle, stamp: BundleStamp) -> None:
-        """Fetch from a peer that is ahead; offer to one that is behind."""
+        """Fetch from a peer with a newer version; offer to one with an older version."""
         own = self._store.stamp
         if stamp.version > own.version:
             with self._lock:
@@ -59,11 +59,11 @@
             peer.notify(OfferBundle(self._store.signed.envelope))
 
     def peer_offered(self, peer: AgentPeerHandle, envelope: bytes) -> None:
-        """Consider an envelope that an agent handed over with a refusal."""
+        """Handle an envelope that an agent sent along with a refusal."""
         self._worker.submit(self._fetch, peer, envelope)
 
     def _fetch(self, peer: AgentPeerHandle, envelope: bytes) -> None:
-        """Adopt what the peer has; runs on the worker."""
+        """Fetch and adopt the peer's bundle; runs on the worker thread."""
         try:
             if not envelope:
                 answer = peer.call(FetchBundle()).result(FETCH_TIMEOUT_S)
@@ -75,7 +75,7 @@
         except BundleRejected as error:
             _log.error("peer's bundle rejected", peer=peer.name, error=error.message)
         except (YokedockError, TimeoutError) as error:
-            _log.warning("peer's bundle not fetched", peer=peer.name, error=str(error))
+            _log.warning("could not fetch peer's bundle", peer=peer.name, error=str(error))
         finally:
             with self._lock:
                 self._fetching_version = 0
@@ -85,10 +85,10 @@
         assert isinstance(answer, BundleSections)
         return sections_by_digest(answer.contents)
 
-    # --- Listening end ---
+    # --- Listening side ---
 
     def gateway_offered(self, envelope: bytes, connection: PeerConnection) -> None:
-        """Ask the gateway for the sections that are lacking, or adopt at once."""
+        """Request missing sections from the gateway, or adopt the bundle if there are none."""
         try:
             missing = self._store.missing(envelope)
             if missing:
@@ -101,7 +101,7 @@
             _log.error("peer's bundle rejected", peer=connection.name, error=error.message)
 
     def sections_arrived(self, contents: tuple[bytes, ...]) -> None:
-        """Adopt the envelope whose sections these are."""
+        """Adopt the offered envelope, whose missing sections have arrived."""
         with self._lock:
             envelope, self._offered_envelope = self._offered_envelope, b""
         if not envelope:
@@ -114,5 +114,5 @@
 
 
 def sections_by_digest(contents: tuple[bytes, ...]) -> dict[str, bytes]:
-    """Return sections by the digest of what they really contain."""
+    """Return sections by the digest computed from their contents."""
     return {digest_of(content): content for content in contents if content}
--- a/src/yokedock/connection/configuration_watch.py
+++ b/src/yokedock/connection/configuration_watch.py
@@ -1,4 +1,4 @@
-"""Follows the configuration service: one long poll that waits, with full jitter on every retry."""
+"""Watches the configuration service by long polling; every retry is delayed with full jitter."""
 
 from __future__ import annotations
 
@@ -27,23 +27,23 @@
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 10.0
 READ_TIMEOUT_S = 5.0
-FETCHERS = 4
-PACK_WORTH_SECTIONS = 4
-"""From so many missing sections on, all sections are read at once."""
-SPREAD_S = 1.0
-"""A change is fetched within this time, so that not all processes read at once."""
+FETCH_THREADS = 4
+MIN_SECTIONS_FOR_PACK = 4
+"""If at least this many sections are missing, the packed value with all sections is read."""
+MAX_FETCH_DELAY_S = 1.0
+"""Maximum random delay before a change is fetched, so that processes do not all read at once."""
 
 
 class ConfigurationClient:
     """Reads values from the configuration service."""
 
     def __init__(self, url: str) -> None:
-        """Name the service's base URL."""
+        """``url`` is the base URL of the service."""
         self._url = url.rstrip("/")
-        self._pool = urllib3.PoolManager(maxsize=FETCHERS + 1, retries=False)
+        self._pool = urllib3.PoolManager(maxsize=FETCH_THREADS + 1, retries=False)
 
     def read(self, key: str, after_revision: int = 0, wait_ms: int = 0) -> tuple[int, bytes] | None:
-        """Return (revision, value) of ``key``; None if it is unset or did not change in time.
+        """Return (revision, value) of ``key``; None if it is unset or unchanged within ``wait_ms``.
 
         Raises ``PlatformUnavailable``.
         """
@@ -57,30 +57,32 @@
                 timeout=urllib3.Timeout(connect=1.0, read=READ_TIMEOUT_S + wait_ms / 1000),
             )
         except urllib3.exceptions.HTTPError:
-            message = f"the configuration service at {self._url} does not answer; check it"
+            message = f"the configuration service at {self._url} does not respond; check it"
             raise PlatformUnavailable(message) from None
         if response.status in (204, 404):
             return None
         if response.status != 200:
-            raise PlatformUnavailable(f"the configuration service answered {response.status}")
+            raise PlatformUnavailable(
+                f"the configuration service responded with status {response.status}"
+            )
         if len(response.data) > MAX_ENVELOPE_BYTES:
             raise PlatformUnavailable(f"the value of {key} is over 1 MB; publish a smaller one")
         return int(response.headers.get(REVISION_HEADER, "0")), response.data
 
     def sections(self, digests: tuple[str, ...]) -> dict[str, bytes]:
-        """Return the sections that the service has, by digest."""
+        """Return the available sections, by digest."""
         found: dict[str, bytes] = {}
-        if len(digests) >= PACK_WORTH_SECTIONS:
+        if len(digests) >= MIN_SECTIONS_FOR_PACK:
             found = self._packed(digests)
             digests = tuple(digest for digest in digests if digest not in found)
-        with ThreadPoolExecutor(FETCHERS) as fetchers:
-            for digest, value in zip(digests, fetchers.map(self._section, digests), strict=True):
+        with ThreadPoolExecutor(FETCH_THREADS) as executor:
+            for digest, value in zip(digests, executor.map(self._section, digests), strict=True):
                 if value is not None and digest_of(value) == digest:
                     found[digest] = value
         return found
 
     def _packed(self, digests: tuple[str, ...]) -> dict[str, bytes]:
-        """Return those of the sections that stand in the packed value."""
+        """Return the requested sections that the packed value contains."""
         value = self.read(PACK_KEY)
         packed = unpack_sections(value[1]) if value else {}
         return {digest: packed[digest] for digest in digests if digest in packed}
@@ -91,10 +93,10 @@
 
 
 class ConfigurationWatch(threading.Thread):
-    """The task that watches the published bundle and offers it to the store."""
+    """Thread that watches the published bundle and offers it to the store."""
 
     def __init__(self, client: ConfigurationClient, store: BundleStore, watch_ms: int) -> None:
-        """Prepare the thread."""
+        """Initialize the thread."""
         super().__init__(name="configuration watch", daemon=True)
         self._client = client
         self._store = store
@@ -102,28 +104,29 @@
         self._stopping = threading.Event()
         self._random = new_random()
         self.confirmed_s = 0.0
-        """Boot time at which the service last answered."""
+        """Boot time in seconds of the last response from the service."""
 
     def stop(self) -> None:
-        """End the thread after its present read."""
+        """Stop the thread after the current read."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Watch until stopped; every retry waits a random part of a growing pause."""
+        """Watch until stopped, retrying with exponential backoff and full jitter."""
         revision, pause_s = 0, RETRY_MIN_S
         while not self._stopping.is_set():
             try:
                 revision = self._watch_once(revision)
                 pause_s = RETRY_MIN_S
             except PlatformUnavailable as error:
-                _log.warning("no answer", error=error.message)
-                # A restore may have lowered the revisions, so a watch from the old one could stall.
+                _log.warning("could not read from the configuration service", error=error.message)
+                # Restoring a backup may have lowered the revisions, so a watch from the old
+                # one could stall.
                 revision = 0
                 self._stopping.wait(self._random.uniform(0, pause_s))
                 pause_s = min(pause_s * 2, RETRY_MAX_S)
 
     def _watch_once(self, revision: int) -> int:
-        """Wait for a change after ``revision``; return the revision seen."""
+        """Wait for a change after ``revision``; return the latest revision read."""
         wait_ms = self._watch_ms if revision else 0
         answer = self._client.read(ENVELOPE_KEY, revision, wait_ms)
         self.confirmed_s = boot_time_s()
@@ -133,7 +136,7 @@
             return revision
         seen, envelope = answer
         if self._store.stamp.version:
-            self._stopping.wait(self._random.uniform(0, SPREAD_S))
+            self._stopping.wait(self._random.uniform(0, MAX_FETCH_DELAY_S))
         try:
             self._store.offer(envelope, self._client.sections, "configuration service")
         except BundleRejected as error:
--- a/src/yokedock/connection/engine_client.py
+++ b/src/yokedock/connection/engine_client.py
@@ -1,4 +1,4 @@
-"""Orders to a model engine. ``EngineDialect`` is the narrow base for engines of other makes."""
+"""Client for model engines. ``EngineDialect`` is the abstract interface to other engine types."""
 
 from __future__ import annotations
 
@@ -27,54 +27,54 @@
 from yokedock.errors import EngineLost, EngineRejected, EngineUnavailable, ErrorResponse
 
 Result = TypeVar("Result")
-_Nothing = type(None)
-STEP_SILENCE_S = 3.0
-"""The engine sends a line at least twice a second; longer silence counts as a lost connection."""
-CONNECTIONS = 64
+_NoneType = type(None)
+STEP_TIMEOUT_S = 3.0
+"""Read timeout for the step stream, on which the engine sends a line at least twice a second."""
+POOL_SIZE = 64
 
 
 class EngineDialect(abc.ABC):
-    """What an agent asks of an engine, whatever its make.
+    """Interface between an agent and an engine of any type.
 
-    Every method raises ``EngineUnavailable`` when the order was not handed over,
-    ``EngineRejected`` when the engine refused it, ``EngineLost`` when its fate is not known.
+    Every method raises ``EngineUnavailable`` if the command was not delivered, ``EngineRejected``
+    if the engine refused it, and ``EngineLost`` if its outcome is unknown.
     """
 
     @abc.abstractmethod
     def prefill(self, order: PrefillOrder, timeout_s: float) -> PrefillResult:
-        """Compute a KV cache and wait for it."""
+        """Compute a KV cache and wait until it is ready."""
 
     @abc.abstractmethod
     def import_cache(self, order: ImportOrder, timeout_s: float) -> None:
-        """Pull a KV cache from another engine and wait for it."""
+        """Pull a KV cache from another engine and wait until the transfer is complete."""
 
     @abc.abstractmethod
     def decode(self, order: DecodeOrder) -> None:
-        """Start to generate from the imported cache."""
+        """Start generating from the imported cache."""
 
     @abc.abstractmethod
     def resume(self, order: ResumeOrder) -> ResumeResult:
-        """Return a stream's tokens from a sequence number on."""
+        """Return a stream's tokens, starting at a sequence number."""
 
     @abc.abstractmethod
     def cancel(self, request: str) -> None:
-        """End whatever runs or is held for a request."""
+        """Cancel all work and free all memory held for a request."""
 
     @abc.abstractmethod
     def change_role(self, role: str) -> None:
-        """Change the engine's role; it must be drained."""
+        """Change the role of the engine, which must be drained."""
 
     @abc.abstractmethod
     def held(self) -> Held:
-        """Return everything that holds memory."""
+        """Return all items that hold engine memory."""
 
     @abc.abstractmethod
     def load(self) -> Load:
-        """Return the engine's own load report, which lags."""
+        """Return the engine's own load report, which may be outdated."""
 
     @abc.abstractmethod
     def cache_events(self, after: int) -> CacheEvents:
-        """Return prefix-cache events after a number."""
+        """Return the prefix-cache events after an event number."""
 
     @abc.abstractmethod
     def steps(self) -> Iterator[Step]:
@@ -82,57 +82,57 @@
 
 
 class HttpEngineClient(EngineDialect):
-    """Speaks the engines' HTTP interface."""
+    """Client for the HTTP interface of engines."""
 
     def __init__(
         self, url: str, fencing_token: int, connect_timeout_s: float, order_timeout_s: float
     ) -> None:
-        """Every order carries ``fencing_token``, the incarnation of the agent."""
+        """Every request carries ``fencing_token``, the incarnation of the agent."""
         self._url = url.rstrip("/")
         self._headers = {FENCING_HEADER: str(fencing_token), "Content-Type": "application/json"}
         self._connect_timeout_s = connect_timeout_s
         self._order_timeout_s = order_timeout_s
-        self._pool = urllib3.PoolManager(maxsize=CONNECTIONS, retries=False, block=False)
+        self._pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False, block=False)
 
     def prefill(self, order: PrefillOrder, timeout_s: float) -> PrefillResult:
-        """Compute a KV cache and wait for it."""
+        """Compute a KV cache and wait until it is ready."""
         return self._post("/v1/prefill", order, PrefillResult, timeout_s)
 
     def import_cache(self, order: ImportOrder, timeout_s: float) -> None:
-        """Pull a KV cache from another engine and wait for it."""
-        self._post("/v1/kv/import", order, _Nothing, timeout_s)
+        """Pull a KV cache from another engine and wait until the transfer is complete."""
+        self._post("/v1/kv/import", order, _NoneType, timeout_s)
 
     def decode(self, order: DecodeOrder) -> None:
-        """Start to generate from the imported cache."""
-        self._post("/v1/decode", order, _Nothing, self._order_timeout_s)
+        """Start generating from the imported cache."""
+        self._post("/v1/decode", order, _NoneType, self._order_timeout_s)
 
     def resume(self, order: ResumeOrder) -> ResumeResult:
-        """Return a stream's tokens from a sequence number on."""
+        """Return a stream's tokens, starting at a sequence number."""
         return self._post("/v1/resume", order, ResumeResult, self._order_timeout_s)
 
     def cancel(self, request: str) -> None:
-        """End whatever runs or is held for a request."""
-        self._post("/v1/cancel", RequestOrder(request), _Nothing, self._order_timeout_s)
+        """Cancel all work and free all memory held for a request."""
+        self._post("/v1/cancel", RequestOrder(request), _NoneType, self._order_timeout_s)
 
     def change_role(self, role: str) -> None:
-        """Change the engine's role; it must be drained."""
-        self._post("/v1/role", RoleOrder(role), _Nothing, self._order_timeout_s)
+        """Change the role of the engine, which must be drained."""
+        self._post("/v1/role", RoleOrder(role), _NoneType, self._order_timeout_s)
 
     def held(self) -> Held:
-        """Return everything that holds memory."""
+        """Return all items that hold engine memory."""
         return self._get("/v1/held", Held)
 
     def load(self) -> Load:
-        """Return the engine's own load report, which lags."""
+        """Return the engine's own load report, which may be outdated."""
         return self._get("/v1/load", Load)
 
     def cache_events(self, after: int) -> CacheEvents:
-        """Return prefix-cache events after a number."""
+        """Return the prefix-cache events after an event number."""
         return self._get(f"/v1/cache-events?after={after}", CacheEvents)
 
     def steps(self) -> Iterator[Step]:
         """Yield the tokens of each decode step until the connection is lost."""
-        response = self._request("GET", "/v1/steps", b"", STEP_SILENCE_S, preload_content=False)
+        response = self._request("GET", "/v1/steps", b"", STEP_TIMEOUT_S, preload_content=False)
         decoder = msgspec.json.Decoder(Step)
         rest = b""
         try:
@@ -141,10 +141,12 @@
                 for line in lines:
                     yield decoder.decode(line)
         except (urllib3.exceptions.HTTPError, OSError, msgspec.MsgspecError) as error:
-            raise EngineLost(f"the engine's steps ended ({error}); is it running?") from None
+            raise EngineLost(
+                f"the engine's step stream failed ({error}); check whether it is running"
+            ) from None
         finally:
             response.close()
-        raise EngineLost("the engine closed its steps; is it running?")
+        raise EngineLost("the engine closed its step stream; check whether it is running")
 
     def _post(self, path: str, body: Any, kind: type[Result], timeout_s: float) -> Result:
         response = self._request("POST", path, msgspec.json.encode(body), timeout_s)
@@ -167,9 +169,13 @@
                 preload_content=preload_content,
             )
         except (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError):
-            raise EngineUnavailable(f"no engine answers at {self._url}; start it") from None
+            raise EngineUnavailable(
+                f"cannot connect to the engine at {self._url}; start it"
+            ) from None
         except urllib3.exceptions.HTTPError as error:
-            raise EngineLost(f"the engine at {self._url} was lost ({error})") from None
+            raise EngineLost(
+                f"the connection to the engine at {self._url} was lost ({error})"
+            ) from None
 
     def _read(self, response: urllib3.BaseHTTPResponse, kind: type[Result]) -> Result:
         if response.status != 200:
@@ -177,12 +183,12 @@
         try:
             return msgspec.json.decode(response.data, type=kind)
         except msgspec.MsgspecError:
-            raise EngineLost("the engine's answer cannot be read; check its version") from None
+            raise EngineLost("the engine's response cannot be decoded; check its version") from None
 
 
 def rejection_text(response: urllib3.BaseHTTPResponse) -> str:
-    """Return the message of a back end's error answer."""
+    """Return the message of a backend's error response."""
     try:
         return msgspec.json.decode(response.data, type=ErrorResponse).error.message
     except msgspec.MsgspecError:
-        return f"the back end answered with status {response.status}; look at its logs"
+        return f"the backend responded with status {response.status}; check its logs"
--- a/src/yokedock/connection/engine_protocol.py
+++ b/src/yokedock/connection/engine_protocol.py
@@ -1,7 +1,7 @@
-"""The published HTTP interface of model engines, as typed bodies.
+"""Types of the request and response bodies of the model engines' published HTTP interface.
 
-All orders are POST requests with JSON bodies and carry the sender's fencing token in the header
-``X-Fencing-Token``. An engine that checks it refuses a token below the highest it has seen (409).
+All commands are POST requests with JSON bodies and carry the sender's fencing token in the header
+``X-Fencing-Token``. Engines that check it reject tokens below the highest they have seen (409).
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class PrefillOrder(msgspec.Struct, frozen=True):
-    """``POST /v1/prefill``: compute the KV cache of ``prompt``; answers when it is ready."""
+    """``POST /v1/prefill``: compute the KV cache of ``prompt``; responds when it is ready."""
 
     request: str
     model: str
@@ -24,7 +24,7 @@
 
 
 class PrefillResult(msgspec.Struct, frozen=True):
-    """The cache is kept under ``handle`` for ``kept_ms`` and then thrown away."""
+    """Result of a prefill: the cache is kept under ``handle`` for ``kept_ms``, then discarded."""
 
     handle: str
     prompt_tokens: int
@@ -34,7 +34,7 @@
 
 
 class ImportOrder(msgspec.Struct, frozen=True):
-    """``POST /v1/kv/import``: pull a KV cache from another engine; answers when it is here."""
+    """``POST /v1/kv/import``: pull a KV cache from another engine; responds when it has arrived."""
 
     request: str
     source_url: str
@@ -42,13 +42,13 @@
 
 
 class PullOrder(msgspec.Struct, frozen=True):
-    """``POST /v1/kv/pull``, engine to engine: answers when the bytes have crossed the link."""
+    """``POST /v1/kv/pull``, engine to engine; responds when the transfer is complete."""
 
     handle: str
 
 
 class PullResult(msgspec.Struct, frozen=True):
-    """What was pulled."""
+    """Size of the pulled cache."""
 
     kv_bytes: int
     tokens: int
@@ -56,9 +56,9 @@
 
 
 class DecodeOrder(msgspec.Struct, frozen=True):
-    """``POST /v1/decode``: generate from an imported cache. Tokens come on ``/v1/steps``.
+    """``POST /v1/decode``: generate from an imported cache. ``/v1/steps`` delivers the tokens.
 
-    ``text`` is the prompt with all tokens so far; ``first_sequence`` numbers the next token.
+    ``text`` is the prompt with all tokens so far; ``first_sequence`` is the next token's number.
     """
 
     request: str
@@ -70,7 +70,7 @@
 
 
 class RequestOrder(msgspec.Struct, frozen=True):
-    """``POST /v1/cancel`` and ``/v1/kv/release``: end a request, or free a kept cache."""
+    """``POST /v1/cancel`` and ``/v1/kv/release``: cancel a request, or free a kept cache."""
 
     request: str = ""
     handle: str = ""
@@ -84,7 +84,7 @@
 
 
 class ResumeResult(msgspec.Struct, frozen=True):
-    """Tokens from the asked sequence number on, and how the stream ended (empty: it goes on)."""
+    """Tokens from the requested sequence number on; ``finish`` is empty while the stream runs."""
 
     tokens: tuple[str, ...]
     finish: str
@@ -93,7 +93,7 @@
 class StepToken(msgspec.Struct, frozen=True, array_like=True):
     """One stream's token in one decode step.
 
-    The token is empty where a stream ends before a stop sequence; it counts as none then.
+    The token is empty, and not counted, if the stream ends before a stop sequence.
     """
 
     request: str
@@ -115,7 +115,7 @@
 
 
 class HeldItem(msgspec.Struct, frozen=True):
-    """Memory held by the engine: ``kind`` is prefill, export, import or decode."""
+    """An item that holds engine memory; ``kind`` is prefill, export, import or decode."""
 
     request: str
     handle: str
@@ -124,13 +124,13 @@
 
 
 class Held(msgspec.Struct, frozen=True):
-    """``GET /v1/held``: everything that holds memory, prefix cache aside."""
+    """``GET /v1/held``: all items that hold engine memory, except the prefix cache."""
 
     items: tuple[HeldItem, ...]
 
 
 class Load(msgspec.Struct, frozen=True):
-    """``GET /v1/load``: the engine's load, some time ago."""
+    """``GET /v1/load``: the engine's load, which may be outdated."""
 
     role: str
     slots: int
@@ -139,9 +139,9 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """``GET /v1/cache-events?after=N``: prompt blocks cached and evicted, late and with gaps.
+    """``GET /v1/cache-events?after=N``: prompt blocks cached and evicted; late, and with gaps.
 
-    ``complete`` is false when events between ``after`` and the first one were lost.
+    ``complete`` is false if events between ``after`` and the first one listed were lost.
     """
 
     next: int
--- a/src/yokedock/connection/machine_list.py
+++ b/src/yokedock/connection/machine_list.py
@@ -1,4 +1,4 @@
-"""Follows the platform's list of machines: which are live, which are leaving, where they are."""
+"""Polls the platform's list of machines with their states and agent addresses."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Machine(msgspec.Struct, frozen=True):
-    """One machine; ``agent`` may name another address than the bundle, after a replacement."""
+    """One machine; after a replacement, ``agent`` may differ from the address in the bundle."""
 
     name: str
     state: str
@@ -27,18 +27,18 @@
 
 
 class MachineList(msgspec.Struct, frozen=True):
-    """``GET /v1/machines``: the list, some time ago."""
+    """Response of ``GET /v1/machines``; may be outdated."""
 
     machines: tuple[Machine, ...]
 
 
 class MachineWatch(threading.Thread):
-    """The task that polls the list. While the list is down, the last one stays in force."""
+    """Thread that polls the machine list; the last list stays in force while none can be read."""
 
     def __init__(
         self, url: str, interval_s: float, on_list: Callable[[dict[str, Machine]], None]
     ) -> None:
-        """Call ``on_list`` with each list read, by machine name."""
+        """``on_list`` is called with each list read, as a dictionary by machine name."""
         super().__init__(name="machine list", daemon=True)
         self._url = f"{url.rstrip('/')}/v1/machines"
         self._interval_s = interval_s
@@ -48,16 +48,16 @@
         self._random = new_random()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Poll at the interval, with jitter, so that readers spread out."""
+        """Poll at the interval, with jitter so that the readers' requests spread out."""
         while not self._stopping.is_set():
             try:
                 response = self._pool.request("GET", self._url, timeout=READ_TIMEOUT_S)
                 machines = msgspec.json.decode(response.data, type=MachineList).machines
                 self._on_list({machine.name: machine for machine in machines})
             except (urllib3.exceptions.HTTPError, msgspec.MsgspecError) as error:
-                _log.warning("no machine list", error=str(error))
+                _log.warning("could not read the machine list", error=str(error))
             self._stopping.wait(self._interval_s * self._random.uniform(0.75, 1.25))
--- a/src/yokedock/connection/service_client.py
+++ b/src/yokedock/connection/service_client.py
@@ -1,4 +1,4 @@
-"""Calls to a plain service beside an agent."""
+"""HTTP client for a service on the agent's machine that is not a model engine."""
 
 from __future__ import annotations
 
@@ -7,26 +7,26 @@
 from yokedock.errors import EngineLost, EngineUnavailable
 from yokedock.messages import ServiceAnswer
 
-CONNECTIONS = 64
+POOL_SIZE = 64
 KEY_HEADER = "Idempotency-Key"
 
 
 class ServiceClient:
-    """Sends one call at a time for each worker and never repeats one by itself."""
+    """Sends one call at a time for each worker thread, without automatic retries."""
 
     def __init__(self, url: str, connect_timeout_s: float) -> None:
-        """Name the service's base URL."""
+        """``url`` is the base URL of the service."""
         self._url = url.rstrip("/")
         self._connect_timeout_s = connect_timeout_s
-        self._pool = urllib3.PoolManager(maxsize=CONNECTIONS, retries=False, block=False)
+        self._pool = urllib3.PoolManager(maxsize=POOL_SIZE, retries=False, block=False)
 
     def call(
         self, service: str, body: bytes, content_type: str, key: str, timeout_s: float
     ) -> ServiceAnswer:
-        """Return the service's answer.
+        """Call the service and return its response.
 
-        Raises ``EngineUnavailable`` when the call was certainly not handed over and
-        ``EngineLost`` when its fate is not known.
+        Raises ``EngineUnavailable`` if the call was certainly not delivered and ``EngineLost`` if
+        its outcome is unknown.
         """
         headers = {"Content-Type": content_type}
         if key:
@@ -41,8 +41,12 @@
                 redirect=False,
             )
         except (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError):
-            raise EngineUnavailable(f"no service answers at {self._url}; start it") from None
+            raise EngineUnavailable(
+                f"cannot connect to the service at {self._url}; start it"
+            ) from None
         except urllib3.exceptions.HTTPError as error:
-            raise EngineLost(f"the service at {self._url} was lost ({error})") from None
+            raise EngineLost(
+                f"the connection to the service at {self._url} was lost ({error})"
+            ) from None
         kind = response.headers.get("Content-Type", "application/octet-stream")
         return ServiceAnswer(response.status, kind, response.data)
