--- a/src/yokedock/connection/router_gossip.py
+++ b/src/yokedock/connection/router_gossip.py
@@ -1,10 +1,11 @@
-"""What routers tell each other: small datagrams, sent on every change and at least now and then.
+"""Gossip between routers: small datagrams, sent on every change and at a regular interval.
 
-A datagram holds one router's whole state, so a lost one needs no repair. Addresses of routers
-spread with them: a router that knows one other soon knows all.
+Each datagram holds the whole state of one router, so lost datagrams need no retransmission. They
+also spread the addresses of routers: a router that knows one other soon knows all.
 
-What a datagram tells counts from when it may have come (``DatagramInbox``). A router that stood
-still drops who may be silent by that, and asks the others to tell it anew.
+The age of a state is counted from the earliest time at which its datagram may have arrived
+(``DatagramInbox``). After a stall, a router drops the others whose state may be too old by that
+measure, and requests their current state.
 """
 
 from __future__ import annotations
@@ -25,53 +26,55 @@
 _log = logger("gossip")
 
 INTERVAL_S = 0.3
-"""A router speaks at least this often; it counts from its last word, so that changes it told of in
-the meantime take the place of a heartbeat."""
+"""Maximum interval between datagrams of a router. It is counted from the last datagram, so that one
+sent because of a change replaces a heartbeat."""
 LARGE_FLEET = 24
-"""Routers heard from which on heartbeats come at ``LARGE_FLEET_INTERVAL_S``."""
+"""Number of other live routers from which the interval is ``LARGE_FLEET_INTERVAL_S``."""
 LARGE_FLEET_INTERVAL_S = 0.4
-"""Datagrams grow with the square of the fleet: this saves a quarter of the heartbeats. One may be
-lost before a vote lapses (1.0 s), two before a router counts as silent (1.5 s)."""
+"""The number of datagrams grows with the square of the fleet; the longer interval saves a quarter
+of the heartbeats. One may be lost before a vote expires (1.0 s), two before a router counts as
+silent (1.5 s)."""
 LEAST_GAP_S = 0.01
-"""Changes within this time go out in one datagram."""
+"""Minimum interval between datagrams; changes within it are sent together."""
 SILENT_S = 1.5
-"""A router that was silent for this long counts as gone."""
+"""A router that has not been heard for this long counts as down."""
 FORGOTTEN_S = 60.0
-"""A router that was silent for this long is no longer called."""
-FIRST_CALLS_S = 2.0
-FIRST_INTERVAL_S = 0.1
-"""A router that starts speaks more often at first: others may be starting with it."""
-ENOUGH_HEARD = 8
-"""Not when it hears so many: these name the rest, and a large fleet that starts together needs its
-processors to become ready."""
-CALL_SILENT_S = 0.9
-"""Silent routers are called this often."""
-WELCOMES = 8
-"""So many routers, on average, tell a newcomer what it cannot have heard: one is enough, and the
-chance that none does is one in 3,000."""
-MOST_NAMED = 12
-"""Addresses of other routers in one datagram; the next one names those behind them."""
-ASK_GAP_S = 2.0
-"""Least time between two askings: each brings a datagram from every other router, and a fleet that
-has no processor must not spend it on those."""
-NAMED_INTERVAL_S = 1.0
-"""Addresses are half of a datagram and seldom new: they are sent this often, and at once to whoever
-is new or while this router is."""
+"""A router that has not been heard for this long gets no more datagrams, unless it is a seed."""
+STARTUP_PERIOD_S = 2.0
+STARTUP_INTERVAL_S = 0.1
+"""During its startup period a router sends more often, as others may be starting too."""
+STARTUP_INTERVAL_MAX_ROUTERS = 8
+"""The startup interval applies only below this number of other live routers: so many name the rest
+of the fleet, and a large fleet that starts together needs its CPU time to become ready."""
+SILENT_RETRY_INTERVAL_S = 0.9
+"""Interval between datagrams to a silent router."""
+NEWCOMER_RESPONDERS = 8
+"""Average number of routers that send their suspects to a newly started router, which cannot have
+received them earlier. One is enough; the probability that none does is 1 in 3,000."""
+MAX_ADDRESSES_PER_DATAGRAM = 12
+"""Maximum number of router addresses in one datagram; the next one continues after them."""
+RESYNC_MIN_INTERVAL_S = 2.0
+"""Minimum interval between requests for the others' states. Each request causes a datagram from
+every other router, which a fleet short of CPU time cannot afford more often."""
+ADDRESS_INTERVAL_S = 1.0
+"""Addresses take up half of a datagram and rarely change, so they are sent only at this interval,
+during startup, and when another router becomes live."""
 
 
 class OtherRouter(msgspec.Struct):
-    """What is known of another router, by its address."""
+    """Known state of another router, identified by its address."""
 
     address: str
     heard_s: float = 0.0
-    """When it told ``state``, or the earliest time at which it may have (boot time)."""
-    called_s: float = 0.0
+    """Boot time at which ``state`` arrived, or the earliest time at which it may have."""
+    last_sent_s: float = 0.0
     known_s: float = 0.0
+    """Boot time at which the address became known."""
     state: RouterState | None = None
 
 
 class RouterGossip(asyncio.DatagramProtocol):
-    """Sends this router's state to all others and takes in theirs."""
+    """Sends this router's state to all others and receives theirs."""
 
     def __init__(
         self,
@@ -82,7 +85,7 @@
         on_state: Callable[[OtherRouter], None],
         on_silent: Callable[[OtherRouter], None],
     ) -> None:
-        """``make_state`` gets a sequence number and the addresses to name."""
+        """``make_state`` gets a sequence number and the router addresses to include."""
         self._own_address = own_address
         self._port = port
         self._make_state = make_state
@@ -90,25 +93,25 @@
         self._on_silent = on_silent
         self._others: dict[str, OtherRouter] = {}
         self.for_newcomers: Callable[[], tuple[SuspectRequest, ...]] = tuple
-        """Returns what a router that has just started is told besides."""
+        """Returns the suspects to send to a router that has just started."""
         self._random = new_random()
         self._seeds = seeds
         self._sequence = 0
         self._sent_s = 0.0
-        self._named_s = 0.0
-        self._first_named = 0
-        self._is_sending = False
-        self._is_asking = False
-        """Whether the others are to answer the next word at once."""
-        self._asked_s = -math.inf
+        self._addresses_sent_s = 0.0
+        self._next_address_index = 0
+        self._is_send_scheduled = False
+        self._is_resync_pending = False
+        """Whether the next datagram requests the others' states."""
+        self._resync_requested_s = -math.inf
         self._started_s = boot_time_s()
         self._transport: asyncio.DatagramTransport | None = None
-        self._inbox = DatagramInbox(self._take_in, self._stood_still)
+        self._inbox = DatagramInbox(self._take_in, self._recover_from_stall)
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(RouterState)
 
     async def start(self) -> None:
-        """Bind the port and begin to speak."""
+        """Bind the port and add the seeds."""
         loop = asyncio.get_running_loop()
         own_socket = self._inbox.bind(self._own_address, self._port)
         await loop.create_datagram_endpoint(lambda: self, sock=own_socket)
@@ -116,9 +119,9 @@
             self._know(seed)
 
     async def run(self) -> None:
-        """Speak at intervals, and notice who fell silent."""
+        """Send at intervals, and detect routers that have become silent."""
         while True:
-            self._inbox.read_waiting()
+            self._inbox.read_pending()
             self._notice_silence()
             left_s = self._sent_s + self._interval_s() - boot_time_s()
             if left_s <= 0.0:
@@ -127,65 +130,65 @@
             await asyncio.sleep(min(left_s, INTERVAL_S))
 
     def _interval_s(self) -> float:
-        """Return how long this router may say nothing."""
+        """Return the current maximum interval between datagrams."""
         heard = len(self.alive())
-        is_young = boot_time_s() - self._started_s < FIRST_CALLS_S
-        if is_young and heard < ENOUGH_HEARD:
-            return FIRST_INTERVAL_S
+        is_starting = boot_time_s() - self._started_s < STARTUP_PERIOD_S
+        if is_starting and heard < STARTUP_INTERVAL_MAX_ROUTERS:
+            return STARTUP_INTERVAL_S
         return LARGE_FLEET_INTERVAL_S if heard >= LARGE_FLEET else INTERVAL_S
 
     def fleet_size(self) -> int:
-        """Return how many routers are alive, this one included."""
+        """Return the number of live routers, including this one."""
         return 1 + len(self.alive())
 
     def known(self) -> int:
-        """Return how many routers are known, this one and those that were silent for long too."""
+        """Return the number of known routers, including this one and silent ones."""
         return 1 + len(self._others)
 
     def alive(self) -> list[OtherRouter]:
-        """Return the routers heard a moment ago."""
+        """Return the other routers that were heard within ``SILENT_S``."""
         oldest_s = boot_time_s() - SILENT_S
         return [other for other in self._others.values() if other.heard_s >= oldest_s]
 
     def change(self) -> None:
-        """Tell the others soon that something has changed."""
-        if self._is_sending or self._transport is None:
+        """Schedule a datagram because the state has changed."""
+        if self._is_send_scheduled or self._transport is None:
             return
-        self._is_sending = True
+        self._is_send_scheduled = True
         gap_s = max(0.0, self._sent_s + LEAST_GAP_S - boot_time_s())
         asyncio.get_running_loop().call_later(gap_s, self._speak)
 
     def tell_last(self) -> None:
-        """Tell the others a last time, at once: this router holds nothing any more."""
+        """Send the final state immediately: this router no longer holds any work."""
         self._speak()
 
     # --- asyncio.DatagramProtocol ---
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take in another router's state, and all that waits behind it."""
+        """Handle a datagram, and all that are queued behind it."""
         self._inbox.take(data, addr[0])
 
     def error_received(self, exc: Exception) -> None:
-        """Go on: a router that is down is called again later."""
-        _log.debug("datagram refused", reason=repr(exc))
+        """Ignore send errors: routers that are down are tried again later."""
+        _log.debug("datagram could not be sent", reason=repr(exc))
 
-    # --- Hearing ---
+    # --- Receiving ---
 
-    def _stood_still(self) -> None:
-        """Drop who may be silent by now, and have the others tell their states anew."""
+    def _recover_from_stall(self) -> None:
+        """Drop routers that may be silent by now, and request the states of the others."""
         now_s = boot_time_s()
         self._notice_silence()
-        if now_s - self._asked_s >= ASK_GAP_S:
-            self._asked_s = now_s
-            self._is_asking = True
+        if now_s - self._resync_requested_s >= RESYNC_MIN_INTERVAL_S:
+            self._resync_requested_s = now_s
+            self._is_resync_pending = True
         self._speak()
 
     def _take_in(self, data: bytes, address: str, told_s: float) -> None:
-        """Take in a router's state, told at ``told_s``; what is not understood is dropped."""
+        """Apply a router's state as of ``told_s``; data that cannot be decoded is dropped."""
         try:
             state = self._decoder.decode(data)
         except msgspec.MsgspecError:
@@ -201,18 +204,18 @@
         other.heard_s = told_s
         other.state = state
         if has_started:
-            self._welcome(other)
+            self._send_suspects(other)
         if state.is_asking:
-            self._tell_alone(other)
+            self._send_to(other)
         for named in state.routers:
             self._know(named)
         if is_new:
             _log.info("router heard", address=other.address, name=state.name)
-            self._named_s = 0.0
+            self._addresses_sent_s = 0.0
             self.change()
         self._on_state(other)
 
-    # --- Speaking ---
+    # --- Sending ---
 
     def _know(self, address: str) -> OtherRouter | None:
         if address == self._own_address:
@@ -224,32 +227,36 @@
         return other
 
     def _speak(self) -> None:
-        self._is_sending = False
+        self._is_send_scheduled = False
         if self._transport is None:
             return
         now_s = boot_time_s()
         self._sent_s = now_s
         self._sequence += 1
-        state = self._make_state(self._sequence, self._named(now_s))
-        state.is_asking, self._is_asking = self._is_asking, False
+        state = self._make_state(self._sequence, self._addresses_to_send(now_s))
+        state.is_asking, self._is_resync_pending = self._is_resync_pending, False
         data = self._encoder.encode(state)
         for other in self._others.values():
             is_silent = other.heard_s < now_s - SILENT_S
-            is_young = now_s - self._started_s < FIRST_CALLS_S
-            if is_silent and not is_young and now_s - other.called_s < CALL_SILENT_S:
+            is_starting = now_s - self._started_s < STARTUP_PERIOD_S
+            if (
+                is_silent
+                and not is_starting
+                and now_s - other.last_sent_s < SILENT_RETRY_INTERVAL_S
+            ):
                 continue
-            other.called_s = now_s
+            other.last_sent_s = now_s
             self._transport.sendto(data, (other.address, self._port))
 
-    def _welcome(self, newcomer: OtherRouter) -> None:
-        """Tell a router that has just started what was told to the others before."""
+    def _send_suspects(self, newcomer: OtherRouter) -> None:
+        """Send the suspects to a router that has just started, as others got them earlier."""
         suspects = self.for_newcomers()
-        if not suspects or self._random.random() * len(self.alive()) > WELCOMES:
+        if not suspects or self._random.random() * len(self.alive()) > NEWCOMER_RESPONDERS:
             return
-        self._tell_alone(newcomer, suspects)
+        self._send_to(newcomer, suspects)
 
-    def _tell_alone(self, other: OtherRouter, suspects: tuple[SuspectRequest, ...] = ()) -> None:
-        """Tell one router this one's state at once, and ``suspects`` in place of the newest."""
+    def _send_to(self, other: OtherRouter, suspects: tuple[SuspectRequest, ...] = ()) -> None:
+        """Send this router's state to one router; ``suspects``, if any, replace the newest ones."""
         if self._transport is None:
             return
         self._sequence += 1
@@ -257,16 +264,18 @@
         state.suspects = suspects or state.suspects
         self._transport.sendto(self._encoder.encode(state), (other.address, self._port))
 
-    def _named(self, now_s: float) -> tuple[str, ...]:
-        """Return the addresses to name now: some of the routers that are heard, or none."""
-        is_young = now_s - self._started_s < FIRST_CALLS_S
-        if not is_young and now_s - self._named_s < NAMED_INTERVAL_S:
+    def _addresses_to_send(self, now_s: float) -> tuple[str, ...]:
+        """Return the addresses for the next datagram: some of the live routers, or none."""
+        is_starting = now_s - self._started_s < STARTUP_PERIOD_S
+        if not is_starting and now_s - self._addresses_sent_s < ADDRESS_INTERVAL_S:
             return ()
-        self._named_s = now_s
+        self._addresses_sent_s = now_s
         alive = self.alive()
-        first = self._first_named % len(alive) if alive else 0
-        self._first_named = first + MOST_NAMED
-        return tuple(other.address for other in (alive[first:] + alive[:first])[:MOST_NAMED])
+        first = self._next_address_index % len(alive) if alive else 0
+        self._next_address_index = first + MAX_ADDRESSES_PER_DATAGRAM
+        return tuple(
+            other.address for other in (alive[first:] + alive[:first])[:MAX_ADDRESSES_PER_DATAGRAM]
+        )
 
     def _notice_silence(self) -> None:
         now_s = boot_time_s()
--- a/src/yokedock/connection/router_state.py
+++ b/src/yokedock/connection/router_state.py
@@ -1,4 +1,4 @@
-"""What one router tells the others of itself."""
+"""Types of the state that each router sends to the others."""
 
 from __future__ import annotations
 
@@ -9,79 +9,79 @@
 
 
 class EngineShare(msgspec.Struct, array_like=True):
-    """What one router has at one engine."""
+    """Work that one router has at one engine."""
 
     memory_tokens: int = 0
     streams: int = 0
     prefill_tokens: int = 0
     pause_ms: int = 0
-    """Pause between events there as measured a moment ago, 0 if it was not."""
+    """Recently measured interval between a stream's events, 0 if not measured."""
     read_tokens_per_ms: int = 0
-    """Pace of reading prompts there as measured a moment ago, 0 if it was not."""
+    """Recently measured prefill rate, 0 if not measured."""
 
 
 class QueueShare(msgspec.Struct, array_like=True):
-    """What waits for the engines of one service at one router."""
+    """Requests queued at one router for the engines of one service."""
 
     in_time: int = 0
-    """Generations waiting that can still meet their target."""
+    """Queued generations that can still meet their latency target."""
     arrivals_per_s: float = 0.0
     next_in_ms: int = 0
-    """Time left of the generation whose turn is next, negative if it is late already, 0 if none
-    waits or the router is of an older version."""
+    """Time left for the next generation in the queue, negative if it is already late; 0 if none is
+    queued or the router has an older version."""
 
 
 class LimitShare(msgspec.Struct, array_like=True):
-    """What one router knows of a backend's limit, and what it has of the permits."""
+    """What one router knows about a backend's rate limit, and its use of permits."""
 
     per_s: float
-    """Requests a second that the backend takes from all routers together, below 0 if no more."""
+    """Requests per second the backend accepts from all routers; negative if no longer limited."""
     age_ms: int
-    """Time since this router last had an answer, or heard of one, that says so."""
+    """Time since the newest response that stated the limit, received here or reported by others."""
     taken: int
-    """Permits that this router has taken."""
+    """Number of permits that this router has taken."""
     waiting: int = 0
-    """Requests that wait for a permit."""
+    """Number of requests waiting for a permit."""
     waited_ms: int = 0
-    """For how long the first of them has waited."""
+    """How long the first of them has waited."""
 
 
 class SuspectRequest(msgspec.Struct, array_like=True, frozen=True):
-    """A request under which backends ended."""
+    """A request during which backends terminated."""
 
     digest: int
-    """What is alike for all attempts of the request."""
+    """Digest that is the same for all attempts of the request."""
     lives: tuple[int, ...] = ()
-    """Numbers of the lives of backends that ended."""
+    """Numbers of the backend instances that terminated."""
     quick_lives: tuple[int, ...] = ()
-    """Those of them that ended as soon as they got the request."""
+    """Numbers of the instances that terminated immediately on receiving the request."""
     age_s: float = 0.0
-    """Time since the newest of these ends."""
+    """Time since the most recent termination."""
 
 
 class StateNews(msgspec.Struct, array_like=True, frozen=True):
-    """What a router has just learned from the source: all that changed between two positions."""
+    """Recent changes read from the state source: all changes between two positions."""
 
     after: int
     position: int
     version: int
-    """Of the route table in force there: whoever has an older one must fetch it."""
+    """Version of the route table at ``position``; routers with an older one must fetch it."""
     changed: tuple[BackendEntry, ...] = ()
     gone: tuple[str, ...] = ()
     era: int = 0
-    """Of the source, at both positions; 0 from a router that sends no era."""
+    """Era of the source at both positions; 0 if the sender does not report one."""
 
     def start_position(self) -> SourcePosition:
-        """Return the position that a router must have reached to apply the changes."""
+        """Return the position a router must have reached before it can apply the changes."""
         return SourcePosition(self.era, self.after)
 
     def end_position(self) -> SourcePosition:
-        """Return the position that the changes lead to."""
+        """Return the position after the changes are applied."""
         return SourcePosition(self.era, self.position)
 
 
 class RouterState(msgspec.Struct, array_like=True):
-    """What one router tells the others."""
+    """The whole state that one router sends to the others."""
 
     name: str
     incarnation: int
@@ -90,35 +90,35 @@
     position: int
     is_leaving: bool
     waiting: int
-    """Generations of all services that wait and can still be in time."""
+    """Queued generations of all services that can still meet their latency target."""
     shares: dict[str, EngineShare]
     leader: str
-    """Address of the router that it names as leader, empty if none."""
+    """Address of the router that it votes for as leader, empty if none."""
     token: int
-    """Highest fencing token that it knows of."""
+    """Highest fencing token known to this router."""
     changing: tuple[str, ...]
-    """Engines whose role it is changing."""
+    """Engines whose role this router is changing."""
     routers: tuple[str, ...]
-    """Addresses (IP) of some routers that it hears; named now and then."""
+    """IP addresses of some of the routers it hears; not in every datagram."""
     queues: dict[str, QueueShare] = {}
-    """By service; a router of an older version tells none."""
+    """By service; empty from routers of an older version."""
     source_age_ms: int = -1
-    """Time since the source of state answered this router itself, -1 if it did not."""
+    """Time since the state source last responded to this router directly, -1 if it never did."""
     news: tuple[StateNews, ...] = ()
-    """What it learned from the source a moment ago."""
+    """Recent changes that it read from the state source."""
     broken: dict[str, int] = {}
-    """Backends that broke an answer off a moment ago, with the share of failures in percent."""
+    """Backends that recently aborted a response, with their failure rate in percent."""
     suspects: tuple[SuspectRequest, ...] = ()
-    """Requests under which backends ended a moment ago."""
+    """Requests during which backends recently terminated."""
     leaving: tuple[str, ...] = ()
-    """Backends whose answers said a moment ago that they leave."""
+    """Backends whose responses recently announced that they are leaving."""
     limits: dict[str, LimitShare] = {}
-    """Backends that name a limit, or did a moment ago."""
+    """Backends that state a rate limit, or recently did."""
     is_asking: bool = False
-    """Whether this router stood still, and wants to be told the others' states at once."""
+    """Whether this router resumed after a stall and requests the others' states immediately."""
     era: int = 0
-    """Of the source, at ``position``; 0 from a router that sends no era."""
+    """Era of the source at ``position``; 0 if the sender does not report one."""
 
     def source_position(self) -> SourcePosition:
-        """Return the position up to which the router knows the source."""
+        """Return the position up to which the router knows the source's history."""
         return SourcePosition(self.era, self.position)
