--- a/src/yokedock/connection/peer_client.py
+++ b/src/yokedock/connection/peer_client.py
@@ -231,8 +231,8 @@
 
     def _deliver_parts(self) -> None:
         """Deliver the collected parts; consecutive parts of a stream are merged."""
-        gathered, self._pending_parts = self._pending_parts, {}
-        for attempt, parts in gathered.items():
+        parts_by_attempt, self._pending_parts = self._pending_parts, {}
+        for attempt, parts in parts_by_attempt.items():
             sink = self._held.get(attempt)
             if sink is not None:
                 for part in join_parts(parts):
