--- a/src/yokedock/connection/__init__.py
+++ b/src/yokedock/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection or one peer."""
+"""Connections to callers, backends and peers, and the state kept for each of them."""
--- a/src/yokedock/connection/answer_writer.py
+++ b/src/yokedock/connection/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes the one answer of a caller's request: its head, its body in parts or whole, its end."""
+"""Writes the response to a caller's request, as a stream of body chunks or in one piece."""
 
 from __future__ import annotations
 
@@ -11,71 +11,71 @@
 from yokedock.errors import CallerGone, ErrorResponse, YokedockError
 
 
-class AnswerChannel(Protocol):
-    """What an answer is written to: the connection of its caller."""
+class ResponseChannel(Protocol):
+    """The caller's connection, to which a response is written."""
 
-    def closes_after_answer(self) -> bool:
-        """Return whether the answer must announce that the connection ends."""
+    def closes_after_response(self) -> bool:
+        """Return whether the response must carry ``Connection: close``."""
 
     def send_event(self, event: h11.Event) -> None:
-        """Frame and write one event."""
+        """Serialize one HTTP event and write it."""
 
     async def drain(self) -> None:
-        """Wait while the caller reads slowly."""
+        """Wait until the write buffer is below its high-water mark."""
 
     def has_left(self) -> bool:
-        """Return whether the caller has left."""
+        """Return whether the caller has disconnected."""
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately, without flushing."""
 
 
 class AnswerWriter:
-    """Writes the one answer of a request."""
+    """Writes the response to one request."""
 
-    def __init__(self, connection: AnswerChannel) -> None:
-        """Write to ``connection``."""
+    def __init__(self, connection: ResponseChannel) -> None:
+        """Create a writer for a response on ``connection``."""
         self._connection = connection
         self.status: int | None = None
         self.has_ended = False
 
     @property
     def has_started(self) -> bool:
-        """Return whether the head went out."""
+        """Return whether the response head was sent."""
         return self.status is not None
 
     def start(self, head: AnswerHead, length: int | None = None) -> None:
-        """Send the head; without ``length`` the body is sent in chunks."""
+        """Send the head; without ``length`` the body uses chunked transfer encoding."""
         self.status = head.status
-        headers = head.passed_on()
+        headers = head.end_to_end_headers()
         if length is not None:
             headers.append((b"Content-Length", str(length).encode()))
-        if self._connection.closes_after_answer():
+        if self._connection.closes_after_response():
             headers.append((b"Connection", b"close"))
         self._connection.send_event(
             h11.Response(status_code=head.status, headers=headers, reason=head.reason)
         )
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body; waits while the caller reads slowly."""
+        """Send a chunk of the body; applies backpressure when the caller reads slowly."""
         self._connection.send_event(h11.Data(data=data))
         await self._connection.drain()
 
     async def end(self) -> None:
-        """End the answer as complete."""
+        """Finish the response."""
         self.has_ended = True
         self._connection.send_event(h11.EndOfMessage())
         await self._connection.drain()
 
     async def whole(self, head: AnswerHead, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete response with a known length."""
         self.start(head, len(body))
         if body:
             self._connection.send_event(h11.Data(data=body))
         await self.end()
 
     async def error(self, error: YokedockError) -> None:
-        """Send a typed error, with ``Retry-After`` in seconds where a retry may succeed."""
+        """Send a typed error, with ``Retry-After`` in seconds if a retry may succeed."""
         headers = []
         if error.retry_after_s is not None:
             headers.append(("Retry-After", f"{error.retry_after_s:.2f}"))
@@ -83,10 +83,10 @@
         await self.whole(*whole_answer(error.http_status, body, headers))
 
     def require_caller(self) -> None:
-        """Raise ``CallerGone`` if the caller has left, also when that was not read yet."""
+        """Raise ``CallerGone`` if the caller has disconnected, even if EOF was not read yet."""
         if self._connection.has_left():
-            raise CallerGone("the caller has left")
+            raise CallerGone("the caller has disconnected")
 
     def break_off(self) -> None:
-        """Close the connection in the middle of the answer, which then cannot look complete."""
+        """Abort the connection mid-response, so that the caller sees the response as truncated."""
         self._connection.abort()
--- a/src/yokedock/connection/caller_connection.py
+++ b/src/yokedock/connection/caller_connection.py
@@ -1,8 +1,8 @@
-"""One caller's connection: reads requests, hands each to a handler and frames its answer.
+"""A caller's HTTP/1.1 connection: reads requests, runs a handler for each, writes the responses.
 
-The task of a connection reads top to bottom: wait for a request, answer it, wait for the next.
-While a request is being answered a second task reads on, so that a caller who leaves is noticed
-at once and the work for it is cancelled.
+Each connection has one task, which reads a request, runs its handler and then reads the next
+request. While the handler runs, a second task keeps reading from the socket, so that a disconnect
+of the caller is detected immediately and the handler is cancelled.
 """
 
 from __future__ import annotations
@@ -28,20 +28,22 @@
 
 READ_BYTES = 65_536
 LINGER_S = 1.0
-"""How long a connection that we close still reads, so that the caller gets our last answer."""
-UNSENT_LIMIT_MS = 10_000
+"""How long incoming data is read after our FIN, so that the caller receives the last response."""
+USER_TIMEOUT_MS = 10_000
 READ_AHEAD_BYTES = 262_144
-"""Bytes of later requests that are read while one is answered."""
-PRESENCE_POLL_S = 0.1
-"""Once so much was read ahead, this often the kernel is asked whether the caller left: engines are
-to be free half a second after that (the platform's figure)."""
+"""Maximum number of bytes of pipelined requests that are read while a request is handled."""
+DISCONNECT_POLL_S = 0.1
+"""Interval at which the TCP state is polled for a disconnect once the read-ahead limit is reached.
+
+The platform requires that engines are free half a second after the caller disconnects.
+"""
 
 
 Handler = Callable[[CallerRequest, AnswerWriter], Awaitable[None]]
 
 
 class CallerConnection:
-    """A connection from a caller; ``serve`` is its task."""
+    """A connection from a caller; ``serve`` runs as its task."""
 
     def __init__(
         self,
@@ -56,18 +58,18 @@
         self._handler = handler
         self._limits = limits
         self._parser = h11.Connection(h11.SERVER, max_incomplete_event_size=limits().header_bytes)
-        self._has_data = False
-        self._work: asyncio.Task[None] | None = None
+        self._has_request_data = False
+        self._handler_task: asyncio.Task[None] | None = None
         self.is_closing = False
-        """Set from outside: the next answer that begins announces the close and is the last one."""
-        self._closes_unannounced = False
+        """Set by the owner: the next response is the last and says ``Connection: close``."""
+        self._close_unannounced = False
         self.is_idle = True
         own_socket = writer.get_extra_info("socket")
         own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNSENT_LIMIT_MS)
+        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     async def serve(self) -> None:
-        """Answer requests until either side closes."""
+        """Serve requests until either side closes the connection."""
         try:
             while True:
                 request = await self._read_request()
@@ -77,66 +79,66 @@
                 if not await self._answer(request):
                     return
                 self.is_idle = True
-                # An answer that announced the close leaves another state. One that did not may have
-                # been followed by a request that is on its way: closing would lose it.
-                if self._parser.our_state is not h11.DONE or self._closes_unannounced:
+                # After ``Connection: close`` the parser is not in the state DONE. After any other
+                # response the next request may be in flight already, and closing would lose it.
+                if self._parser.our_state is not h11.DONE or self._close_unannounced:
                     break
                 if self._parser.their_state is not h11.DONE:
                     break
                 self._parser.start_next_cycle()
-            await self._close_gently()
+            await self._close_gracefully()
         except (BadRequest, PayloadTooLarge) as error:
             await self._reject(error)
         except OSError as error:
             _log.debug("connection lost", reason=repr(error))
         finally:
-            self._writer.transport.abort() if self._has_unread() else self._writer.close()
+            self._writer.transport.abort() if self._has_parse_error() else self._writer.close()
 
-    def closes_after_answer(self) -> bool:
-        """Return whether the answer must announce that the connection ends."""
+    def closes_after_response(self) -> bool:
+        """Return whether the response must carry ``Connection: close``."""
         return self.is_closing
 
     def send_event(self, event: h11.Event) -> None:
-        """Frame and write one event."""
+        """Serialize one HTTP event and write it."""
         data = self._parser.send(event)
         if data:
             self._writer.write(data)
 
     def has_left(self) -> bool:
-        """Return whether the caller has left."""
+        """Return whether the caller has disconnected."""
         return has_left(self._writer.get_extra_info("socket"))
 
     async def drain(self) -> None:
-        """Wait while the caller reads slowly."""
+        """Wait until the write buffer is below its high-water mark."""
         await self._writer.drain()
 
     def abort(self) -> None:
-        """Close at once."""
+        """Close the connection immediately, without flushing."""
         self._writer.transport.abort()
 
     def close_if_idle(self) -> None:
-        """Close in order when no request is being read or answered; else behind the answer."""
-        self.is_closing = self._closes_unannounced = True
-        if self.is_idle and not self._has_data:
+        """Close if no request is being read or handled; otherwise close after the response."""
+        self.is_closing = self._close_unannounced = True
+        if self.is_idle and not self._has_request_data:
             self._writer.close()
 
     def cancel_work(self) -> None:
-        """End the work for the request in flight."""
-        if self._work is not None:
-            self._work.cancel()
+        """Cancel the handler of the request in flight."""
+        if self._handler_task is not None:
+            self._handler_task.cancel()
 
     # --- Reading ---
 
     async def _read_request(self) -> CallerRequest | None:
-        """Return the next request, None when the connection ended between requests."""
+        """Return the next request, None if the connection was closed between requests."""
         limits = self._limits()
-        self._has_data = bool(self._parser.trailing_data[0])
+        self._has_request_data = bool(self._parser.trailing_data[0])
         event = self._next_event()
-        is_silent = event is h11.NEED_DATA and not self._has_data
+        is_silent = event is h11.NEED_DATA and not self._has_request_data
         if is_silent and not await self._receive(limits.idle_timeout_s):
             return None
         arrived_s = boot_time_s()
-        self._has_data = True
+        self._has_request_data = True
         head = await self._read_head(event, arrived_s + limits.header_timeout_s)
         if head is None:
             return None
@@ -157,12 +159,16 @@
             if left_s <= 0 or not await self._receive(left_s):
                 if self._reader.at_eof():
                     return None
-                raise RequestTimeout("the head did not arrive in time; send it at once")
+                raise RequestTimeout(
+                    "timed out waiting for the request head; send it without delay"
+                )
 
     async def _read_body(self, head: RequestHead, limits: CallerLimits) -> bytes:
         declared = head.get(b"content-length")
         if declared is not None and int(declared) > limits.body_bytes:
-            raise PayloadTooLarge(f"the body has {declared} bytes; send {limits.body_bytes}")
+            raise PayloadTooLarge(
+                f"the body has {declared} bytes; send at most {limits.body_bytes}"
+            )
         parts: list[bytes] = []
         size = 0
         while True:
@@ -170,7 +176,9 @@
             if isinstance(event, h11.Data):
                 size += len(event.data)
                 if size > limits.body_bytes:
-                    raise PayloadTooLarge(f"the body is too long; send {limits.body_bytes} bytes")
+                    raise PayloadTooLarge(
+                        f"the body is too large; send at most {limits.body_bytes} bytes"
+                    )
                 parts.append(bytes(event.data))
             elif isinstance(event, h11.EndOfMessage):
                 return b"".join(parts)
@@ -182,19 +190,19 @@
             self.send_event(h11.InformationalResponse(status_code=100, headers=[]))
         if not await self._receive(limits.idle_timeout_s):
             if self._reader.at_eof():
-                raise ConnectionResetError("the caller left in the middle of its request")
-            raise RequestTimeout("the body did not arrive in time; send it at once")
+                raise ConnectionResetError("the caller disconnected in the middle of the request")
+            raise RequestTimeout("timed out waiting for the request body; send it without delay")
 
     def _next_event(self) -> object:
         try:
             return self._parser.next_event()
         except h11.RemoteProtocolError as error:
             if error.error_status_hint == HeaderTooLarge.http_status:
-                raise HeaderTooLarge("the head is too large; send fewer headers") from None
-            raise BadRequest(f"not a request ({error}); send HTTP/1.1") from None
+                raise HeaderTooLarge("the request head is too large; send fewer headers") from None
+            raise BadRequest(f"malformed HTTP request ({error}); send HTTP/1.1") from None
 
     async def _receive(self, timeout_s: float) -> bool:
-        """Hand more bytes to the parser; return False at the end or after ``timeout_s``."""
+        """Read data into the parser; returns False on end of stream or after ``timeout_s``."""
         try:
             async with Patience(timeout_s):
                 data = await self._reader.read(READ_BYTES)
@@ -205,14 +213,17 @@
         self._parser.receive_data(data)
         return True
 
-    # --- Answering ---
+    # --- Handling ---
 
     async def _answer(self, request: CallerRequest) -> bool:
-        """Run the handler until it has answered or the caller has left; False: no more requests."""
+        """Run the handler to completion, or cancel it if the caller disconnects.
+
+        Returns whether the connection can serve further requests.
+        """
         answer = AnswerWriter(self)
         task = asyncio.create_task(self._run_handler(request, answer))
-        self._work = task
-        watch = asyncio.create_task(self._watch_caller(task))
+        self._handler_task = task
+        watch = asyncio.create_task(self._watch_disconnect(task))
         try:
             await asyncio.wait([task])
         finally:
@@ -232,7 +243,7 @@
             self.abort()
 
     async def _handle(self, request: CallerRequest, answer: AnswerWriter) -> None:
-        """Run the handler; raises ``OSError`` or ``CallerGone`` when nobody waits any more."""
+        """Run the handler; raises ``OSError`` or ``CallerGone`` if the caller has disconnected."""
         try:
             await self._handler(request, answer)
         except (OSError, CallerGone):
@@ -241,19 +252,26 @@
             await self._tell(answer, error)
         except Exception:
             _log.exception("handler failed", path=request.head.path)
-            await self._tell(answer, YokedockError("an unexpected error; look in the logs"))
+            await self._tell(answer, YokedockError("internal error; see the logs for details"))
 
     async def _tell(self, answer: AnswerWriter, error: YokedockError) -> None:
-        """Tell the caller of an error; one that comes behind a whole answer does not harm it."""
+        """Send an error to the caller, or abort a response that has started.
+
+        An error raised after the response is complete is only logged.
+        """
         if answer.has_ended:
-            _log.warning("error behind an answer", code=error.code, error=error.message)
+            _log.warning(
+                "handler raised an error after the response was complete",
+                code=error.code,
+                error=error.message,
+            )
         elif answer.has_started:
             answer.break_off()
         else:
             await answer.error(error)
 
-    async def _watch_caller(self, task: asyncio.Task[None]) -> None:
-        """Read on while a request is answered; cancel the work when the caller leaves."""
+    async def _watch_disconnect(self, task: asyncio.Task[None]) -> None:
+        """Keep reading while the handler runs; cancel it when the caller disconnects."""
         ahead = 0
         try:
             while ahead < READ_AHEAD_BYTES:
@@ -263,29 +281,32 @@
                 ahead += len(data)
                 self._parser.receive_data(data)
             else:
-                # An end behind unread bytes cannot be read.
+                # A FIN behind unread data cannot be seen by reading, so the TCP state is polled.
                 while not self.has_left():
-                    await asyncio.sleep(PRESENCE_POLL_S)
+                    await asyncio.sleep(DISCONNECT_POLL_S)
         except OSError as error:
             _log.debug("connection lost", reason=repr(error))
         task.cancel()
 
-    # --- Ending ---
+    # --- Closing ---
 
     async def _reject(self, error: YokedockError) -> None:
-        """Tell what is wrong with a request that could not be read, and close."""
+        """Send an error for a request that could not be read, and close the connection."""
         _log.info("rejected", code=error.code, error=error.message)
         self.is_closing = True
         if self._parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         try:
             await AnswerWriter(self).error(error)
-            await self._close_gently()
+            await self._close_gracefully()
         except (OSError, h11.LocalProtocolError):
             return
 
-    async def _close_gently(self) -> None:
-        """Stop sending, and read for a moment, so that unread bytes do not reset our answer."""
+    async def _close_gracefully(self) -> None:
+        """Send FIN, then discard incoming data for up to ``LINGER_S``.
+
+        Closing with unread data would make the kernel send RST, which can destroy the response.
+        """
         if self._writer.is_closing() or self._reader.at_eof():
             return
         try:
@@ -296,5 +317,5 @@
         except (OSError, TimeoutError):
             return
 
-    def _has_unread(self) -> bool:
+    def _has_parse_error(self) -> bool:
         return self._parser.their_state is h11.ERROR
--- a/src/yokedock/connection/caller_presence.py
+++ b/src/yokedock/connection/caller_presence.py
@@ -1,8 +1,9 @@
-"""Whether a caller has left, asked of the kernel: it may know of a close before anything is read.
+"""Detects from the kernel's TCP state that a caller has disconnected, even before EOF is read.
 
-A caller has left when it closed its connection, reset it, or ended only its sending side. The last
-cannot be told from a close before an answer is written, and HTTP/1.1 clients that still want an
-answer keep their sending side open; so all three mean the same, and the answer is wanted no more.
+A caller counts as disconnected when it closed the connection, reset it, or shut down only its
+sending side. A half-close cannot be told from a full close before a response is written, and
+HTTP/1.1 clients that still expect a response keep their sending side open. All three cases are
+therefore treated alike: the response is no longer needed.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 import socket
 from typing import Any
 
-STATES_OF_ENDED = frozenset({6, 7, 8, 9, 11})
-"""States of a TCP connection (Linux, ``tcp_states.h``) whose other side has ended its sending or
-reset it: TIME_WAIT, CLOSE, CLOSE_WAIT, LAST_ACK, CLOSING."""
+PEER_CLOSED_STATES = frozenset({6, 7, 8, 9, 11})
+"""TCP states (Linux, ``tcp_states.h``) in which the peer has sent FIN or RST: TIME_WAIT, CLOSE,
+CLOSE_WAIT, LAST_ACK, CLOSING."""
 
 
 def has_left(own_socket: Any) -> bool:
-    """Return whether the other side of an accepted connection has ended or reset it.
+    """Return whether the peer of an accepted connection has closed or reset it.
 
-    True also while what it sent before is still unread.
+    This is true even while data that the peer sent earlier is still unread.
     """
     try:
         state: int = own_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
     except OSError as error:
-        # Closed by our side already; where the kernel cannot tell, reading does.
+        # EBADF: closed locally. On any other error, a disconnect is detected by reading.
         return error.errno == errno.EBADF
-    return state in STATES_OF_ENDED
+    return state in PEER_CLOSED_STATES
--- a/src/yokedock/connection/caller_request.py
+++ b/src/yokedock/connection/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, and the checks of its head that the parser does not make."""
+"""A caller's request, and the validation of its head that the parser does not do."""
 
 from __future__ import annotations
 
@@ -10,33 +10,37 @@
 from yokedock.version.route_table import CallerLimits
 
 LINE_OVERHEAD_BYTES = 4
-"""A header line has a colon, a blank and a line end beside its name and value."""
+"""Colon, space and CRLF of a header line, in addition to its name and value."""
 
 
 class CallerRequest(msgspec.Struct, frozen=True):
-    """One request, read whole."""
+    """A request with its complete body."""
 
     head: RequestHead
     body: bytes
     arrived_s: float
-    """Boot time at which its first byte was read."""
+    """When its first byte was read (``boot_time_s``)."""
 
 
 def check_head(head: RequestHead, limits: CallerLimits) -> None:
-    """Raise ``BadRequest`` for a head that can be read in two ways, ``HeaderTooLarge``."""
+    """Raise ``BadRequest`` for an ambiguous or invalid head, ``HeaderTooLarge`` for a large one."""
     _check_framing(head)
     size = len(head.target)
     size += sum(len(name) + len(value) + LINE_OVERHEAD_BYTES for name, value in head.headers)
     if size > limits.header_bytes:
-        raise HeaderTooLarge(f"the head has {size} bytes; send at most {limits.header_bytes}")
+        raise HeaderTooLarge(
+            f"the request head has {size} bytes; send at most {limits.header_bytes}"
+        )
 
 
 def _check_framing(head: RequestHead) -> None:
-    """Refuse heads whose length could be read in two ways."""
+    """Reject an ambiguous body length (request smuggling) and a target that is not a path."""
     lengths = [value for name, value in head.headers if name.lower() == b"content-length"]
     if lengths and head.get(b"transfer-encoding") is not None:
-        raise BadRequest("both Content-Length and Transfer-Encoding; send one of them")
+        raise BadRequest(
+            "the request has both Content-Length and Transfer-Encoding; send only one of them"
+        )
     if len(lengths) > 1:
-        raise BadRequest("more than one Content-Length; send one")
+        raise BadRequest("the request has more than one Content-Length header; send one")
     if not head.target.startswith(b"/"):
-        raise BadRequest("the target is not a path; send a path that begins with a slash")
+        raise BadRequest("the request target is not a path; send a path that starts with a slash")
--- a/src/yokedock/connection/dialect.py
+++ b/src/yokedock/connection/dialect.py
@@ -1,6 +1,7 @@
-"""What callers' and backends' headers mean: the terms in which the router decides, one interface.
+"""The interface between HTTP headers and the router's own request and response metadata.
 
-A dialect only translates between these terms and the headers of one side.
+A dialect only translates: it maps these types to and from the headers that callers and backends
+use.
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 
 
 class PromptPart(msgspec.Struct, frozen=True):
-    """One part of a prompt: an identifier that other prompts may share, and its tokens."""
+    """A segment of a prompt, with an identifier that other prompts may share, and its length."""
 
     part_id: str
     tokens: int
 
 
 class GenerationTerms(msgspec.Struct, frozen=True):
-    """What a caller says about a generation; tokens of the prompt and the most to be made."""
+    """Parameters of a generation request: prompt length, output limit and prompt segments."""
 
     model: str
     prompt_tokens: int
@@ -31,31 +32,31 @@
 
 
 class CallTerms(msgspec.Struct, frozen=True):
-    """What the head of a request says besides its route."""
+    """Metadata from the head of a request, other than its route."""
 
     request_id: str
     deadline_s: float | None
-    """Seconds that the caller will wait, None if it does not say."""
+    """How long the caller will wait, in seconds; None if it does not say."""
     last_event_id: int | None = None
     generation: GenerationTerms | None = None
 
 
 class BackendOrder(msgspec.Struct, frozen=True):
-    """What the router adds to a request for one backend."""
+    """What the router adds to a request when it forwards it to a backend."""
 
     instance: str
-    """Only this incarnation of the backend may run the request."""
+    """Identifier of the only backend process that may run the request."""
     deadline_ms: int | None = None
     is_prefill: bool = False
     kv_source: str | None = None
-    """Address and handle of the engine that holds the prompt's memory."""
+    """Address of the engine that holds the prompt's KV cache, and the handle of that cache."""
     fetch_from: str | None = None
-    """Address of an engine that keeps the prompt in its prefix cache: it is copied, not read."""
+    """Address of an engine with the prompt in its prefix cache; it is copied, not recomputed."""
     last_event_id: int | None = None
 
 
 class BackendLoad(msgspec.Struct, frozen=True):
-    """A backend's own count of its work."""
+    """A backend's self-reported load."""
 
     running: int
     waiting: int
@@ -63,23 +64,23 @@
 
 
 class AnswerNotes(msgspec.Struct, frozen=True):
-    """What the head of an answer says about the run."""
+    """Metadata from the head of a response."""
 
     request_id: str | None
     is_not_run: bool
-    """The backend states that it did not and will not run the request."""
+    """The backend states that it has not run the request and will not run it."""
     is_signed: bool
     is_elsewhere: bool = False
-    """Another incarnation has the address: the one that was meant is gone."""
+    """Another backend process has taken over the address: the intended one is gone."""
     load: BackendLoad | None = None
     is_leaving: bool = False
-    """The backend will end soon; it says so in all its answers from then on."""
+    """The backend is draining; all its responses say so from then on."""
     rest_s: float | None = None
-    """Seconds for which the backend that turned the request away wants no other from here."""
+    """Seconds for which a backend that rejected the request wants no further requests from here."""
     limit_per_s: float | None = None
-    """Requests a second that the backend takes from all routers together, None if it names none."""
+    """Requests per second that the backend accepts from all routers; None if it sets no limit."""
     is_limit_odd: bool = False
-    """It names something that is no limit: what it takes is as it was."""
+    """The limit header is invalid; the previous limit stays in force."""
 
 
 class RoleOrder(msgspec.Struct, frozen=True):
@@ -89,11 +90,11 @@
     role: str
     holder: str
     token: int
-    """Fencing token: never lower than in an earlier order."""
+    """Fencing token; never lower than in an earlier order."""
 
 
 class EncodedOrder(msgspec.Struct, frozen=True):
-    """An order as it is sent, by POST."""
+    """A role order encoded as a POST request."""
 
     target: bytes
     headers: list[Header]
@@ -101,14 +102,14 @@
 
 
 class PrefillResult(msgspec.Struct, frozen=True):
-    """What an engine answers to a prefill; ``handle`` names the memory that it keeps."""
+    """An engine's response to a prefill; ``handle`` identifies the KV cache that it retains."""
 
     handle: str
     tokens: int = 0
 
 
 class CachedPart(msgspec.Struct, frozen=True, array_like=True):
-    """One part of prompts that an engine keeps ``tokens`` of."""
+    """A prompt segment of which an engine has ``tokens`` in its prefix cache."""
 
     tenant: str
     part_id: str
@@ -116,42 +117,42 @@
 
 
 class Dialect(abc.ABC):
-    """Translates heads of requests and answers."""
+    """Translates the heads of requests and responses."""
 
     not_understood = 0
-    """Values in heads of answers that were none of what may stand there, since the start."""
+    """Number of invalid header values in responses since the process started."""
 
     @abc.abstractmethod
     def call_terms(self, head: RequestHead) -> CallTerms:
-        """Return what a caller asks; raises ``BadRequest`` for what makes no sense."""
+        """Return the metadata of a request; raises ``BadRequest`` for invalid values."""
 
     @abc.abstractmethod
     def backend_headers(self, head: RequestHead, order: BackendOrder) -> list[Header]:
-        """Return the headers of the request as one backend gets it."""
+        """Return the headers of the request as it is forwarded to a backend."""
 
     @abc.abstractmethod
     def answer_notes(self, head: AnswerHead) -> AnswerNotes:
-        """Return what an answer says about the run."""
+        """Return the metadata of a response."""
 
     @abc.abstractmethod
     def prefill_result(self, body: bytes) -> PrefillResult:
-        """Parse the answer to a prefill; raises ``EngineRejected`` if it is none."""
+        """Parse the response body of a prefill; raises ``EngineRejected`` if it is invalid."""
 
     @abc.abstractmethod
     def role_order(self, order: RoleOrder) -> EncodedOrder:
-        """Return an order to change a role as it is sent."""
+        """Encode an order to change a role."""
 
     @abc.abstractmethod
     def cache_list_call(self) -> ShortCall:
-        """Return the call that asks an engine what its prefix cache keeps."""
+        """Return the request that lists the contents of an engine's prefix cache."""
 
     @abc.abstractmethod
     def cached_parts(self, body: bytes) -> dict[str, int]:
-        """Return the tokens kept of each part, by the answer to that call.
+        """Return the cached tokens of each prompt segment, from the response to that request.
 
-        Raises ``EngineRejected`` if it is none.
+        Raises ``EngineRejected`` if the body is invalid.
         """
 
     @abc.abstractmethod
     def release_target(self, handle: str) -> bytes:
-        """Return the path at which DELETE releases what a prefill keeps."""
+        """Return the path on which DELETE releases the KV cache that a prefill retains."""
--- a/src/yokedock/connection/event_stream.py
+++ b/src/yokedock/connection/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits a stream of server-sent events into whole events with their ids."""
+"""Splits a stream of server-sent events into complete events with their ids."""
 
 from __future__ import annotations
 
@@ -11,31 +11,31 @@
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event: its bytes with the blank line, and its id if it has a whole number."""
+    """A complete event: its bytes including the blank line, and its id if that is an integer."""
 
     data: bytes
     event_id: int | None
 
 
 class EventSplitter:
-    """Collects bytes and gives out whole events."""
+    """Buffers bytes and returns complete events."""
 
     def __init__(self) -> None:
-        """Start with nothing collected."""
-        self._rest = b""
+        """Create a splitter with an empty buffer."""
+        self._buffer = b""
 
     @property
     def rest(self) -> bytes:
-        """Return the bytes of an event that is not whole yet."""
-        return self._rest
+        """Return the bytes of an incomplete event."""
+        return self._buffer
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that are whole now."""
-        self._rest += data
+        """Append bytes and return the events that are complete now."""
+        self._buffer += data
         events = []
-        while (end := _END.search(self._rest)) is not None:
-            whole = self._rest[: end.end()]
-            self._rest = self._rest[end.end() :]
+        while (end := _END.search(self._buffer)) is not None:
+            whole = self._buffer[: end.end()]
+            self._buffer = self._buffer[end.end() :]
             found = _ID.search(whole)
             events.append(StreamEvent(whole, int(found.group(1)) if found else None))
         return events
--- a/src/yokedock/connection/head_numbers.py
+++ b/src/yokedock/connection/head_numbers.py
@@ -1,7 +1,7 @@
-"""Numbers in the heads of requests and answers, all read by the same rules.
+"""Parses numbers in the headers of requests and responses.
 
-Only ASCII digits count: what the language's own conversions take besides (``inf``, ``1_0``, digits
-of other scripts, numbers too large to be finite) was hardly meant by whoever wrote it.
+Only ASCII digits are accepted. What ``int`` and ``float`` accept beyond that (``inf``, ``1_0``,
+digits of other scripts, numbers that overflow to infinity) is unlikely to be what the sender meant.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 import re
 
 MOST_DIGITS = 18
-"""Whole numbers are below 2**63."""
+"""Any integer with this many digits is below 2**63."""
 _DECIMAL = re.compile(r"[0-9]+(\.[0-9]*)?([eE][+-]?[0-9]+)?")
-_WHOLE = re.compile(f"[0-9]{{1,{MOST_DIGITS}}}")
+_INTEGER = re.compile(f"[0-9]{{1,{MOST_DIGITS}}}")
 
 
-def decimal_number(text: str) -> float | None:
-    """Return a finite number that is not negative, None if ``text`` is none."""
+def parse_decimal(text: str) -> float | None:
+    """Return a finite, non-negative number; None if ``text`` is not one."""
     text = text.strip()
     if _DECIMAL.fullmatch(text) is None:
         return None
@@ -24,7 +24,7 @@
     return number if math.isfinite(number) else None
 
 
-def whole_number(text: str) -> int | None:
-    """Return a whole number that is not negative, None if ``text`` is none."""
+def parse_integer(text: str) -> int | None:
+    """Return a non-negative integer; None if ``text`` is not one."""
     text = text.strip()
-    return int(text) if _WHOLE.fullmatch(text) is not None else None
+    return int(text) if _INTEGER.fullmatch(text) is not None else None
--- a/src/yokedock/connection/header_dialect.py
+++ b/src/yokedock/connection/header_dialect.py
@@ -1,4 +1,4 @@
-"""A dialect in which everything stands in headers whose names are given by a table."""
+"""A dialect that carries all metadata in headers, with configurable header names."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     PromptPart,
     RoleOrder,
 )
-from yokedock.connection.head_numbers import decimal_number, whole_number
+from yokedock.connection.head_numbers import parse_decimal, parse_integer
 from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
 from yokedock.connection.short_call import ShortCall
 from yokedock.errors import BadRequest, EngineRejected
@@ -27,7 +27,7 @@
 
 
 class HeaderNames(msgspec.Struct, frozen=True):
-    """Names of headers; the defaults are the product's own."""
+    """Names of headers, paths and JSON fields; the defaults are the router's own."""
 
     request_id: str = "X-Request-Id"
     deadline_ms: str = "X-Deadline-Ms"
@@ -61,27 +61,27 @@
 
 
 MISDIRECTED_STATUS = 421
-"""The backend is not the one that was meant, and does not run the request (RFC 9110)."""
+"""The backend is not the intended one and does not run the request (RFC 9110)."""
 MAX_DEADLINE_MS = 3_600_000
 OVERLOADED_STATUS = 503
-"""Only with this status does ``Retry-After`` ask for rest (RFC 9110, section 10.2.3)."""
+"""The only status with which ``Retry-After`` is honoured (RFC 9110, section 10.2.3)."""
 RETRY_AFTER = b"retry-after"
 LEAVING_VALUE = "1"
-SHOWN_CHARACTERS = 40
-"""Characters of an odd value that stand in a log line or an error."""
-LOAD_COUNTS = 3
-"""Running, waiting, slots."""
-LONGEST_REST_S = 86_400.0
-"""A backend that asks for more than a day has mistaken the unit, and rests for a day."""
+MAX_LOGGED_CHARACTERS = 40
+"""An invalid value is truncated to this length in log lines and error messages."""
+LOAD_FIELD_COUNT = 3
+"""Number of fields of the load header: running, waiting, slots."""
+MAX_RETRY_AFTER_S = 86_400.0
+"""``Retry-After`` is capped at a day: a longer value suggests a mistaken unit."""
 
 
 class HeaderDialect(Dialect):
-    """A dialect in which everything stands in headers whose names are given."""
+    """A dialect that carries all metadata in headers, with configurable header names."""
 
     def __init__(self, names: HeaderNames | None = None) -> None:
-        """Prepare look-ups from the table of names."""
+        """Precompute look-up keys from the header names."""
         self._names = names or HeaderNames()
-        self._keys = {
+        self._lowercase_names = {
             name: getattr(self._names, name).lower().encode()
             for name in self._names.__struct_fields__
             if isinstance(getattr(self._names, name), str)
@@ -90,23 +90,23 @@
         self._dropped = frozenset(own)
 
     def call_terms(self, head: RequestHead) -> CallTerms:
-        """Return what a caller asks; raises ``BadRequest`` for what makes no sense."""
-        deadline_ms = self._number(head, "deadline_ms")
+        """Return the metadata of a request; raises ``BadRequest`` for invalid values."""
+        deadline_ms = self._parse_rounded(head, "deadline_ms")
         if deadline_ms is not None and not 0 < deadline_ms <= MAX_DEADLINE_MS:
-            raise BadRequest(f"{self._names.deadline_ms} must be 1 to {MAX_DEADLINE_MS}")
+            raise BadRequest(f"{self._names.deadline_ms} must be between 1 and {MAX_DEADLINE_MS}")
         return CallTerms(
-            request_id=head.get(self._keys["request_id"]) or "",
+            request_id=head.get(self._lowercase_names["request_id"]) or "",
             deadline_s=None if deadline_ms is None else deadline_ms / 1000,
-            last_event_id=self._number(head, "last_event_id"),
-            generation=self._generation(head),
+            last_event_id=self._parse_rounded(head, "last_event_id"),
+            generation=self._parse_generation(head),
         )
 
     def backend_headers(self, head: RequestHead, order: BackendOrder) -> list[Header]:
-        """Return the headers of the request as one backend gets it."""
-        replaced = {self._keys["deadline_ms"]}
+        """Return the headers of the request as it is forwarded to a backend."""
+        replaced = {self._lowercase_names["deadline_ms"]}
         if order.last_event_id is not None:
-            replaced.add(self._keys["last_event_id"])
-        headers = head.passed_on(self._dropped | replaced)
+            replaced.add(self._lowercase_names["last_event_id"])
+        headers = head.end_to_end_headers(self._dropped | replaced)
         names = self._names
         added = [(names.instance, order.instance)]
         if order.deadline_ms is not None:
@@ -122,24 +122,24 @@
         return headers + [(name.encode(), value.encode()) for name, value in added]
 
     def answer_notes(self, head: AnswerHead) -> AnswerNotes:
-        """Return what an answer says about the run."""
+        """Return the metadata of a response."""
         is_elsewhere = head.status == MISDIRECTED_STATUS
-        limit = head.get(self._keys["limit"])
-        limit_per_s = self._decimal("limit", limit)
+        limit = head.get(self._lowercase_names["limit"])
+        limit_per_s = self._parse_decimal("limit", limit)
         return AnswerNotes(
-            request_id=head.get(self._keys["request_id"]),
-            is_not_run=is_elsewhere or head.get(self._keys["not_run"]) is not None,
-            is_signed=head.get(self._keys["signature"]) is not None,
+            request_id=head.get(self._lowercase_names["request_id"]),
+            is_not_run=is_elsewhere or head.get(self._lowercase_names["not_run"]) is not None,
+            is_signed=head.get(self._lowercase_names["signature"]) is not None,
             is_elsewhere=is_elsewhere,
-            load=self._load(head.get(self._keys["load"])),
-            is_leaving=head.get(self._keys["leaving"]) == LEAVING_VALUE,
-            rest_s=self._rest_s(head) if head.status == OVERLOADED_STATUS else None,
+            load=self._parse_load(head.get(self._lowercase_names["load"])),
+            is_leaving=head.get(self._lowercase_names["leaving"]) == LEAVING_VALUE,
+            rest_s=self._parse_retry_after_s(head) if head.status == OVERLOADED_STATUS else None,
             limit_per_s=limit_per_s,
             is_limit_odd=limit is not None and limit_per_s is None,
         )
 
     def prefill_result(self, body: bytes) -> PrefillResult:
-        """Parse the answer to a prefill; raises ``EngineRejected`` if it is none."""
+        """Parse the response body of a prefill; raises ``EngineRejected`` if it is invalid."""
         try:
             fields = msgspec.json.decode(body, type=dict[str, object])
         except (msgspec.MsgspecError, RecursionError):
@@ -147,11 +147,13 @@
         handle = fields.get(self._names.handle_field)
         tokens = fields.get(self._names.tokens_field, 0)
         if not isinstance(handle, str) or not isinstance(tokens, int):
-            raise EngineRejected("the engine's answer to a prefill names no handle")
+            raise EngineRejected(
+                "invalid prefill response from the engine: expected a handle and a token count"
+            )
         return PrefillResult(handle, tokens)
 
     def role_order(self, order: RoleOrder) -> EncodedOrder:
-        """Return an order to change a role as it is sent."""
+        """Encode an order to change a role."""
         names = self._names
         fields = {
             names.order_kind_field: names.order_kind,
@@ -166,82 +168,88 @@
         return EncodedOrder(names.order_path.encode(), headers, msgspec.json.encode(fields))
 
     def cache_list_call(self) -> ShortCall:
-        """Return the call that asks an engine what its prefix cache keeps."""
+        """Return the request that lists the contents of an engine's prefix cache."""
         return ShortCall(b"GET", self._names.cache_list_path.encode())
 
     def cached_parts(self, body: bytes) -> dict[str, int]:
-        """Return the tokens kept of each part, by the answer to that call."""
+        """Return the cached tokens of each prompt segment, from the response to that request."""
         try:
             fields = msgspec.json.decode(body, type=dict[str, msgspec.Raw])
             parts = msgspec.json.decode(
                 fields[self._names.cache_list_field], type=tuple[CachedPart, ...]
             )
         except (msgspec.MsgspecError, RecursionError, KeyError):
-            raise EngineRejected("the engine's list of its cache is not understood") from None
+            raise EngineRejected("invalid prefix cache listing from the engine") from None
         return {part.part_id: part.tokens for part in parts}
 
     def release_target(self, handle: str) -> bytes:
-        """Return the path at which DELETE releases what a prefill keeps."""
+        """Return the path on which DELETE releases the KV cache that a prefill retains."""
         return f"{self._names.release_path}{handle}".encode()
 
-    def _generation(self, head: RequestHead) -> GenerationTerms | None:
-        tokens = head.get(self._keys["tokens"])
+    def _parse_generation(self, head: RequestHead) -> GenerationTerms | None:
+        tokens = head.get(self._lowercase_names["tokens"])
         if tokens is None:
             return None
         prompt, _, most = tokens.partition(",")
-        prompt_tokens, most_output_tokens = whole_number(prompt), whole_number(most)
+        prompt_tokens, most_output_tokens = parse_integer(prompt), parse_integer(most)
         if prompt_tokens is None or most_output_tokens is None:
-            raise BadRequest(f"{self._names.tokens} must be PROMPT,MOST; send two whole numbers")
-        parts = self._parts(head.get(self._keys["parts"]) or "")
-        hint = self._number(head, "output_hint")
-        model = head.get(self._keys["model"]) or ""
+            raise BadRequest(
+                f"{self._names.tokens} must be PROMPT_TOKENS,MAX_OUTPUT_TOKENS; send two integers"
+            )
+        parts = self._parts(head.get(self._lowercase_names["parts"]) or "")
+        hint = self._parse_rounded(head, "output_hint")
+        model = head.get(self._lowercase_names["model"]) or ""
         return GenerationTerms(model, prompt_tokens, most_output_tokens, parts, hint)
 
     def _parts(self, text: str) -> tuple[PromptPart, ...]:
         found = []
         for part in filter(None, text.split(",")):
             part_id, _, text = part.strip().rpartition(":")
-            tokens = whole_number(text)
+            tokens = parse_integer(text)
             if tokens is None:
-                raise BadRequest(f"{self._names.parts} must list ID:TOKENS; mend {part!r}")
+                raise BadRequest(
+                    f"{self._names.parts} must be a list of ID:TOKENS; correct {part!r}"
+                )
             found.append(PromptPart(part_id, tokens))
         return tuple(found)
 
-    def _number(self, head: RequestHead, name: str) -> int | None:
-        text = head.get(self._keys[name])
+    def _parse_rounded(self, head: RequestHead, name: str) -> int | None:
+        text = head.get(self._lowercase_names[name])
         if text is None:
             return None
-        number = decimal_number(text)
+        number = parse_decimal(text)
         if number is None:
-            raise BadRequest(f"{name} cannot be {text[:SHOWN_CHARACTERS]!r}; send a number")
+            raise BadRequest(
+                f"{name} cannot be {text[:MAX_LOGGED_CHARACTERS]!r}; send a non-negative number"
+            )
         return round(number)
 
-    # --- What answers say ---
+    # --- Response headers ---
 
-    def _load(self, text: str | None) -> BackendLoad | None:
+    def _parse_load(self, text: str | None) -> BackendLoad | None:
         if text is None:
             return None
-        numbers = [whole_number(part) for part in text.split(",")]
+        numbers = [parse_integer(part) for part in text.split(",")]
         counts = [number for number in numbers if number is not None]
-        if len(numbers) != LOAD_COUNTS or len(counts) != LOAD_COUNTS:
-            self._note_not_understood("load", text)
+        if len(numbers) != LOAD_FIELD_COUNT or len(counts) != LOAD_FIELD_COUNT:
+            self._record_invalid_value("load", text)
             return None
         return BackendLoad(*counts)
 
-    def _rest_s(self, head: AnswerHead) -> float | None:
-        """Return the seconds of ``Retry-After``, None where it is absent or no number of them."""
-        rest_s = self._decimal("rest", head.get(RETRY_AFTER))
-        return None if rest_s is None else min(rest_s, LONGEST_REST_S)
+    def _parse_retry_after_s(self, head: AnswerHead) -> float | None:
+        """Return the seconds of ``Retry-After``; None if it is absent or not a number."""
+        rest_s = self._parse_decimal("rest", head.get(RETRY_AFTER))
+        return None if rest_s is None else min(rest_s, MAX_RETRY_AFTER_S)
 
-    def _decimal(self, what: str, text: str | None) -> float | None:
-        """Return a number, None where it is absent or none."""
+    def _parse_decimal(self, what: str, text: str | None) -> float | None:
+        """Return the number in ``text``; None if it is absent or invalid."""
         if text is None:
             return None
-        number = decimal_number(text)
+        number = parse_decimal(text)
         if number is None:
-            self._note_not_understood(what, text)
+            self._record_invalid_value(what, text)
         return number
 
-    def _note_not_understood(self, what: str, text: str) -> None:
+    def _record_invalid_value(self, what: str, text: str) -> None:
         self.not_understood += 1
-        _log.info("word not understood", what=what, value=text[:SHOWN_CHARACTERS])
+        _log.info("word not understood", what=what, value=text[:MAX_LOGGED_CHARACTERS])
--- a/src/yokedock/connection/http_heads.py
+++ b/src/yokedock/connection/http_heads.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages as the router passes them on: names, order and bytes unchanged."""
+"""Heads of HTTP messages as the router forwards them: names, order and bytes unchanged."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 Header = tuple[bytes, bytes]
 
-HOP_BY_HOP = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         b"connection",
         b"keep-alive",
@@ -19,18 +19,18 @@
         b"upgrade",
     }
 )
-"""Headers that concern one connection only (RFC 9110, section 7.6.1)."""
-FRAMING = frozenset({b"content-length", b"expect"})
-"""Headers that the router writes anew, since it holds the whole body."""
+"""Headers that apply to a single connection and are not forwarded (RFC 9110, section 7.6.1)."""
+FRAMING_HEADERS = frozenset({b"content-length", b"expect"})
+"""Headers that the router generates itself, since it buffers the complete body."""
 
 
 class Head(msgspec.Struct, frozen=True):
-    """Headers of a message: raw names and values, and a look-up by lower-case name."""
+    """Headers of a message as raw names and values, with look-up by lower-case name."""
 
     headers: tuple[Header, ...]
 
     def get(self, name: bytes) -> str | None:
-        """Return the first value of header ``name`` (lower case), None if absent."""
+        """Return the first value of header ``name`` (in lower case), None if absent."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value.decode("latin-1").strip()
@@ -45,16 +45,19 @@
                     return True
         return False
 
-    def passed_on(self, without: frozenset[bytes] = frozenset()) -> list[Header]:
-        """Return the end-to-end headers, less framing, ``without`` and what Connection names."""
+    def end_to_end_headers(self, without: frozenset[bytes] = frozenset()) -> list[Header]:
+        """Return the headers to forward.
+
+        Hop-by-hop and framing headers, those that Connection lists and ``without`` are left out.
+        """
         named = self.get(b"connection") or ""
         listed = {part.strip().lower().encode("latin-1") for part in named.split(",")}
-        dropped = HOP_BY_HOP | FRAMING | without | listed
+        dropped = HOP_BY_HOP_HEADERS | FRAMING_HEADERS | without | listed
         return [(name, value) for name, value in self.headers if name.lower() not in dropped]
 
 
 class RequestHead(Head, frozen=True):
-    """Head of a request; ``target`` is path and query as they were sent."""
+    """Head of a request; ``target`` is the path and query exactly as received."""
 
     method: bytes
     target: bytes
@@ -67,12 +70,12 @@
 
     @property
     def query(self) -> str:
-        """Return what stands behind the question mark, empty if there is none."""
+        """Return the query string without the question mark, empty if there is none."""
         return self.target.partition(b"?")[2].decode("latin-1")
 
 
 class AnswerHead(Head, frozen=True):
-    """Head of an answer."""
+    """Head of a response."""
 
     status: int
     reason: bytes = b""
@@ -81,7 +84,7 @@
 def whole_answer(
     status: int, body: bytes, headers: list[tuple[str, str]] | None = None
 ) -> tuple[AnswerHead, bytes]:
-    """Return an answer of the router's own, with a JSON body."""
+    """Return a response that the router generates itself, with a JSON body."""
     own = [(name.encode(), value.encode()) for name, value in headers or []]
     own.append((b"Content-Type", b"application/json"))
     return AnswerHead(tuple(own), status), body
