--- a/src/yokedock/connection/backend_pool.py
+++ b/src/yokedock/connection/backend_pool.py
@@ -1,4 +1,4 @@
-"""Connections to backends that rest between requests, by address."""
+"""A pool of idle backend connections, by address."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class BackendPool:
-    """Hands out connections: a resting one if it is sound, else a new one."""
+    """Hands out connections: an idle one if it is still usable, otherwise a new one."""
 
     def __init__(self) -> None:
-        """Start with no connection."""
+        """Create an empty pool."""
         self._resting: dict[str, list[BackendConnection]] = {}
         self.opened = 0
 
@@ -23,31 +23,36 @@
         longest_rest_s: float = LONGEST_REST_S,
         heard_after_s: float = 0.0,
     ) -> BackendConnection:
-        """Return a connection that rested for at most ``longest_rest_s``, or a new one.
+        """Return a connection that was idle for at most ``longest_rest_s``, or a new one.
 
-        A resting one must have brought something after ``heard_after_s`` (boot time).
+        An idle connection is reused only if it has received data after ``heard_after_s``
+        (``boot_time_s``).
 
-        Raises ``BackendUnreachable`` when none can be opened.
+        Raises ``BackendUnreachable`` if no connection can be opened.
         """
         resting = self._resting.get(address, [])
         while resting:
             connection = resting.pop()
-            is_proven = connection.heard_s > heard_after_s
-            if connection.is_reusable and connection.rested_s() <= longest_rest_s and is_proven:
+            has_recent_data = connection.heard_s > heard_after_s
+            if (
+                connection.is_reusable
+                and connection.idle_time_s() <= longest_rest_s
+                and has_recent_data
+            ):
                 return connection
             connection.close()
         self.opened += 1
         return await BackendConnection.connect(address, timeout_s)
 
     def give_back(self, connection: BackendConnection, most: float = math.inf) -> None:
-        """Let a connection rest, beside at most ``most`` in all, or close it."""
+        """Return a connection to the pool, or close it if unusable or if ``most`` are idle."""
         if connection.is_reusable and len(self._resting.get(connection.address, ())) < most:
             self._resting.setdefault(connection.address, []).append(connection)
         else:
             connection.close()
 
     def keep_at_most(self, address: str, most: int) -> None:
-        """Close what rests at ``address`` beyond ``most``, the longest rested first."""
+        """Close idle connections to ``address`` in excess of ``most``, the longest idle first."""
         resting = self._resting.get(address, [])
         beyond = max(0, len(resting) - max(0, most))
         for connection in resting[:beyond]:
@@ -55,33 +60,33 @@
         del resting[:beyond]
 
     def forget(self, address: str) -> None:
-        """Close what rests at ``address``."""
+        """Close all idle connections to ``address``."""
         for connection in self._resting.pop(address, []):
             connection.close()
 
     def forget_all(self) -> None:
-        """Close all that rests."""
+        """Close all idle connections."""
         for address in list(self._resting):
             self.forget(address)
 
     def drop_quiet(self, address: str, since_s: float) -> None:
-        """Close what rests at ``address`` and has brought nothing since ``since_s`` (boot time)."""
-        self._keep(address, lambda connection: connection.heard_s > since_s)
+        """Close idle connections to ``address`` that got no data since ``since_s`` (boot time)."""
+        self._retain(address, lambda connection: connection.heard_s > since_s)
 
     def size(self) -> int:
-        """Return how many connections rest."""
+        """Return the number of idle connections."""
         return sum(len(resting) for resting in self._resting.values())
 
     def drop_stale(self) -> None:
-        """Close resting connections that may not be used again."""
+        """Close idle connections that can no longer be reused."""
         for address in list(self._resting):
-            self._keep(address, lambda connection: connection.is_reusable)
+            self._retain(address, lambda connection: connection.is_reusable)
 
-    def _keep(self, address: str, is_kept: Callable[[BackendConnection], bool]) -> None:
-        """Close what rests at ``address`` but for those that ``is_kept`` names."""
+    def _retain(self, address: str, should_keep: Callable[[BackendConnection], bool]) -> None:
+        """Close the idle connections to ``address`` for which ``should_keep`` returns false."""
         kept = []
         for connection in self._resting.pop(address, []):
-            if is_kept(connection):
+            if should_keep(connection):
                 kept.append(connection)
             else:
                 connection.close()
--- a/src/yokedock/connection/http_get.py
+++ b/src/yokedock/connection/http_get.py
@@ -1,4 +1,4 @@
-"""Reads documents from one address, on kept connections."""
+"""Fetches documents from one address over persistent connections."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
     MAX_ANSWER_BYTES,
     AnswerProgress,
     CallLimits,
-    ReadShare,
+    ReadProgress,
     ShortAnswer,
     ShortCall,
     short_call,
@@ -16,32 +16,35 @@
 from yokedock.router_errors import AnswerTooLong, BackendBroken, BackendUnreachable
 
 DOCUMENT_PROGRESS = AnswerProgress(stall_s=1.5, longest_s=20.0)
-"""A document of a megabyte takes 2.2 s on a link of 5 Mbit/s that nothing else uses. The stall is
-longer than a lost packet's second retransmission (0.2 + 0.4 s, Linux) and its round trips; 20 s is
-how long a source keeps its history: what takes longer is out of date when it arrives."""
+"""A document of 1 MB takes 2.2 s on an otherwise idle 5 Mbit/s link. The stall limit is longer than
+the second retransmission of a lost packet (0.2 + 0.4 s on Linux) plus its round trips. 20 s is how
+long a source keeps its history: a document that takes longer is out of date when it arrives."""
 
 
 class HttpGetter:
-    """Reads documents from one address. A connection with a lost answer is never used again."""
+    """Fetches documents from one address.
+
+    A connection on which a response was not read completely is never reused.
+    """
 
     def __init__(self, address: str, connect_timeout_s: float) -> None:
-        """Read from ``address`` (IP:port)."""
+        """Create a client for ``address`` (IP:port)."""
         self._address = address
         self._connect_timeout_s = connect_timeout_s
         self._pool = BackendPool()
-        self._share = ReadShare()
+        self._share = ReadProgress()
 
     def share_read(self) -> float:
-        """Return how much of the answer has come that is being read or was read last, 0 to 1."""
+        """Return the received fraction (0 to 1) of the response being read, or of the last one."""
         return self._share.value()
 
     async def get(
         self, target: str, head_timeout_s: float, most_bytes: int = MAX_ANSWER_BYTES
     ) -> ShortAnswer:
-        """Return the answer, which may take long as long as it flows.
+        """Return the response, whose body may take up to the limits of ``DOCUMENT_PROGRESS``.
 
-        Raises ``PlatformUnavailable`` if its head is not there in time or it stalls,
-        ``AnswerTooLong`` if it has more than ``most_bytes``.
+        Raises ``PlatformUnavailable`` if the head does not arrive in time or the body stalls,
+        ``AnswerTooLong`` if the body exceeds ``most_bytes``.
         """
         limits = CallLimits(
             self._connect_timeout_s,
@@ -50,7 +53,7 @@
             most_bytes=most_bytes,
         )
         call = ShortCall(b"GET", target.encode())
-        self._share = ReadShare()
+        self._share = ReadProgress()
         try:
             return await short_call(self._pool, self._address, call, limits, self._share)
         except AnswerTooLong:
--- a/src/yokedock/connection/http_server.py
+++ b/src/yokedock/connection/http_server.py
@@ -47,14 +47,14 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-IN_MEMORY_BYTES = 1 << 31
-"""Threshold above which waitress would use a file: never, since machines have no disks."""
+BUFFER_OVERFLOW_BYTES = 1 << 31
+"""Size above which waitress buffers in a file; set so high because machines have no disks."""
 
 Write = Callable[[bytes], None]
 
 
 class HttpRequest:
-    """One request as a handler sees it."""
+    """A request as passed to a handler."""
 
     def __init__(self, environ: dict[str, Any], start_response: Any) -> None:
         """Wrap a WSGI environment."""
@@ -75,20 +75,22 @@
         return values[0] if values else default
 
     def body(self, limit: int) -> bytes:
-        """Return the body; raises ``PayloadTooLarge`` over ``limit`` bytes."""
+        """Return the body; raises ``PayloadTooLarge`` if it exceeds ``limit`` bytes."""
         length = int(self.environ.get("CONTENT_LENGTH") or 0)
         if length > limit:
             raise PayloadTooLarge(f"the body has {length} bytes; send at most {limit}")
         return bytes(self.environ["wsgi.input"].read(length))
 
     def json(self, kind: type[Body], limit: int = 1 << 24) -> Body:
-        """Return the body parsed as ``kind``; raises ``BadRequest`` naming the wrong field."""
+        """Return the body parsed as ``kind``; raises ``BadRequest`` naming the invalid field."""
         try:
             return msgspec.json.decode(self.body(limit), type=kind)
         except msgspec.MsgspecError as error:
-            raise BadRequest(f"{error}; send a JSON document of the documented form") from None
+            raise BadRequest(
+                f"{error}; send a JSON document that matches the documented schema"
+            ) from None
         except RecursionError:
-            raise BadRequest("the JSON document nests too deeply; send a flatter one") from None
+            raise BadRequest("the JSON document is nested too deeply; send a flatter one") from None
 
     def client_disconnected(self) -> bool:
         """Return whether the caller has closed its connection."""
@@ -96,13 +98,13 @@
         return bool(check and check())
 
     def start(self, status: int, headers: list[tuple[str, str]]) -> Write:
-        """Send status and headers, and return the function that writes parts of the body."""
+        """Send status and headers, and return a function that writes chunks of the body."""
         self.is_answered = True
-        raw_write: Write = self._start_response(status_line(status), headers)
+        wsgi_write: Write = self._start_response(status_line(status), headers)
 
         def write(data: bytes) -> None:
             try:
-                raw_write(data)
+                wsgi_write(data)
             except (ClientDisconnected, OSError):
                 raise CallerGone("the caller closed its connection") from None
 
@@ -110,7 +112,7 @@
 
 
 class HttpResponse:
-    """A whole answer, or one made part by part."""
+    """A response, either complete or streamed in chunks."""
 
     def __init__(
         self,
@@ -120,7 +122,7 @@
         headers: list[tuple[str, str]] | None = None,
         parts: Iterator[bytes] | None = None,
     ) -> None:
-        """Give ``body``, or ``parts`` for an answer without a known length."""
+        """Create a response with ``body``, or with ``parts`` if its length is not known."""
         self.status = status
         self.body = body
         self.parts = parts
@@ -128,21 +130,21 @@
 
     @classmethod
     def of(cls, value: Any, status: int = 200) -> HttpResponse:
-        """Return ``value`` as a JSON answer."""
+        """Return a response with ``value`` encoded as JSON."""
         return cls(status, msgspec.json.encode(value))
 
 
 Handler = Callable[[HttpRequest], HttpResponse | None]
-"""Returns the answer, or None after it has answered through ``HttpRequest.start``."""
+"""Returns the response, or None if it has already responded through ``HttpRequest.start``."""
 
 
 def status_line(status: int) -> str:
-    """Return the status with its reason."""
+    """Return the status code with its reason phrase."""
     return f"{status} {REASONS.get(status, 'Status')}"
 
 
 def error_response(error: YokedockError) -> HttpResponse:
-    """Return the answer for a typed error, with ``Retry-After`` where a retry may succeed."""
+    """Return the response for a typed error, with ``Retry-After`` if a retry may succeed."""
     headers = []
     if error.retry_after_s is not None:
         headers.append(("Retry-After", str(max(1, round(error.retry_after_s)))))
@@ -151,20 +153,20 @@
 
 
 class HttpRouter:
-    """A WSGI application made of routes. A route ending in ``/`` takes all paths below it."""
+    """A WSGI application made of routes. A route ending in ``/`` matches all paths below it."""
 
     def __init__(self) -> None:
-        """Start with no route."""
-        self._exact: dict[str, dict[str, Handler]] = {}
-        self._below: dict[str, dict[str, Handler]] = {}
+        """Create a router without routes."""
+        self._exact_routes: dict[str, dict[str, Handler]] = {}
+        self._prefix_routes: dict[str, dict[str, Handler]] = {}
 
     def add(self, method: str, path: str, handler: Handler) -> None:
-        """Answer ``method`` on ``path`` by ``handler``."""
-        table = self._below if path.endswith("/") else self._exact
+        """Register ``handler`` for ``method`` on ``path``."""
+        table = self._prefix_routes if path.endswith("/") else self._exact_routes
         table.setdefault(path, {})[method] = handler
 
     def __call__(self, environ: dict[str, Any], start_response: Any) -> Iterable[bytes]:
-        """Answer one request (WSGI)."""
+        """Handle one request (WSGI entry point)."""
         request = HttpRequest(environ, start_response)
         try:
             response = self._find(request)(request)
@@ -172,7 +174,7 @@
             response = error_response(error)
         except Exception:
             _log.exception("handler failed", path=request.path)
-            text = "an unexpected error; look in the logs for its traceback"
+            text = "internal error; see the logs for its traceback"
             body = msgspec.json.encode(
                 ErrorResponse(ErrorBody("internal_error", text, Outcome.UNKNOWN))
             )
@@ -186,14 +188,18 @@
         return response.parts if response.parts is not None else [response.body]
 
     def _find(self, request: HttpRequest) -> Handler:
-        methods = self._exact.get(request.path)
+        methods = self._exact_routes.get(request.path)
         if methods is None:
             methods = next(
-                (table for path, table in self._below.items() if request.path.startswith(path)),
+                (
+                    table
+                    for path, table in self._prefix_routes.items()
+                    if request.path.startswith(path)
+                ),
                 None,
             )
         if methods is None:
-            raise NotFound(f"there is no {request.path}; look up the path in the README")
+            raise NotFound(f"no such path: {request.path}; see the README for the paths")
         handler = methods.get(request.method)
         if handler is None:
             raise MethodNotAllowed(f"use {' or '.join(sorted(methods))} on {request.path}")
@@ -201,7 +207,7 @@
 
 
 class HttpServer:
-    """A waitress server on its own thread."""
+    """A waitress server that runs in its own thread."""
 
     def __init__(
         self,
@@ -211,7 +217,7 @@
         max_body_bytes: int = 1 << 24,
         connection_limit: int = 4000,
     ) -> None:
-        """Bind ``address`` (port 0: any free one); raises ``SettingsInvalid`` if it is taken."""
+        """Bind ``address`` (port 0: any free port); raises ``SettingsInvalid`` if that fails."""
         host, _, port = address.rpartition(":")
         try:
             self._server = waitress.server.create_server(
@@ -225,21 +231,21 @@
                 connection_limit=connection_limit,
                 channel_timeout=600,
                 channel_request_lookahead=1,
-                inbuf_overflow=IN_MEMORY_BYTES,
-                outbuf_overflow=IN_MEMORY_BYTES,
-                outbuf_high_watermark=IN_MEMORY_BYTES,
+                inbuf_overflow=BUFFER_OVERFLOW_BYTES,
+                outbuf_overflow=BUFFER_OVERFLOW_BYTES,
+                outbuf_high_watermark=BUFFER_OVERFLOW_BYTES,
                 asyncore_use_poll=True,
                 clear_untrusted_proxy_headers=True,
             )
         except OSError as error:
-            message = f"cannot listen on {address} ({error.strerror}); free it or name another"
+            message = f"cannot listen on {address} ({error.strerror}); free it or configure another"
             raise SettingsInvalid(message) from None
         self.address = f"{host}:{self._server.effective_port}"
         self.url = f"http://{self.address}"
         self._thread = threading.Thread(target=self._run, name=f"http {self.address}", daemon=True)
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start serving."""
         self._thread.start()
 
     def _run(self) -> None:
@@ -249,16 +255,16 @@
             _log.debug("server closed", address=self.address)
 
     def stop_accepting(self) -> None:
-        """Take no new connection; those that are open go on."""
+        """Stop accepting connections; established ones continue to be served."""
         self._server.accepting = False
         self._server.del_channel()
         self._server.socket.close()
 
     def is_flushed(self) -> bool:
-        """Return whether every answer has been handed to the network."""
+        """Return whether all response data has been handed to the kernel."""
         channels = list(self._server.active_channels.values())
         return all(channel.total_outbufs_len == 0 for channel in channels)
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._server.close()
--- a/src/yokedock/connection/routes_file.py
+++ b/src/yokedock/connection/routes_file.py
@@ -1,6 +1,6 @@
-"""Routes, services and backends from an INI file: the product's own source of state.
+"""Reads routes, services and backends from an INI file, the router's own state source.
 
-The file is read again when it changes; its version must rise with every change of a route.
+The file is reloaded when it changes; its version must increase with every change of a route.
 """
 
 from __future__ import annotations
@@ -35,52 +35,56 @@
 
 @dataclasses.dataclass(frozen=True)
 class TableOptions:
-    """The version, and the limits for callers."""
+    """Section [table]: the version, and the limits for callers."""
 
-    version: int = option("version; raise it with every change", check=between(1, 1 << 53))
-    max_body_bytes: int = option("largest body, bytes", 4_194_304, between(1, 1 << 40))
-    idle_timeout_s: float = option("longest rest of a connection, s", 15.0, between(0.1, 86_400))
+    version: int = option("version; increase it with every change", check=between(1, 1 << 53))
+    max_body_bytes: int = option("maximum request body size, bytes", 4_194_304, between(1, 1 << 40))
+    idle_timeout_s: float = option("idle timeout of a connection, s", 15.0, between(0.1, 86_400))
 
 
 @dataclasses.dataclass(frozen=True)
 class RouteOptions:
-    """One route; its name is the section's."""
+    """Section [route NAME]."""
 
     host: str = option("host name")
-    prefix: str = option("path prefix that begins and ends with a slash")
-    kind: str = option("what may be repeated", check=one_of(*RouteKind))
+    prefix: str = option("path prefix that starts and ends with a slash")
+    kind: str = option("which requests may be retried", check=one_of(*RouteKind))
     services: tuple[str, ...] = option("services, each as NAME or NAME:WEIGHT")
-    timeout_s: float = option("longest time a request is held, s", 60.0, between(0.01, 86_400))
-    target_s: float = option("time to an answer or first event that is in time, s", 1.0)
-    max_attempts: int = option("most backends a request may run on", 1, between(1, 10))
-    resumable: bool = option("a stream may go on at another engine", False)
-    pause_s: float = option("longest pause between events that is in time, s; 0: any", 0.0)
+    timeout_s: float = option("request timeout, s", 60.0, between(0.01, 86_400))
+    target_s: float = option("target time to the response or the first event, s", 1.0)
+    max_attempts: int = option(
+        "maximum number of backends that a request may run on", 1, between(1, 10)
+    )
+    resumable: bool = option("whether a stream may be resumed on another engine", False)
+    pause_s: float = option("target for the longest gap between events, s; 0: no target", 0.0)
 
 
 @dataclasses.dataclass(frozen=True)
 class ServiceOptions:
-    """One service; an engine's memory makes it a pool of model engines."""
+    """Section [service NAME]; with ``memory_tokens`` set it is a pool of model engines."""
 
-    memory_tokens: int = option("memory of each engine, tokens; 0: no model engines", 0)
-    slots: int = option("requests at once of each engine", 1, between(1, 100_000))
-    tokens_per_event: int = option("tokens in one event", 1, between(1, 1000))
-    handle_s: float = option("how long a prefill is kept, s", 0.5)
+    memory_tokens: int = option("memory of each engine, tokens; 0: not a pool of model engines", 0)
+    slots: int = option("concurrent requests per engine", 1, between(1, 100_000))
+    tokens_per_event: int = option("tokens per event", 1, between(1, 1000))
+    handle_s: float = option("how long a prefill result is retained, s", 0.5)
 
 
 @dataclasses.dataclass(frozen=True)
 class BackendOptions:
-    """One backend; its name is the section's."""
+    """Section [backend NAME]."""
 
     service: str = option("service it belongs to")
     address: str = option("IP:port", check=address)
-    zone: str = option("zone it stands in", "")
-    slots: int = option("requests at once", 1, between(1, 100_000))
-    role: str = option("prefill or decode for a model engine", "", one_of("", "prefill", "decode"))
-    leaving: bool = option("it gets nothing new", False)
+    zone: str = option("zone that it runs in", "")
+    slots: int = option("concurrent requests", 1, between(1, 100_000))
+    role: str = option(
+        "role of a model engine: prefill or decode", "", one_of("", "prefill", "decode")
+    )
+    leaving: bool = option("whether it is draining: it gets no new requests", False)
 
 
 def read_routes(path: Path) -> StateSnapshot:
-    """Read and check a routes file; raises ``SettingsInvalid`` that lists every error."""
+    """Read and validate a routes file; raises ``SettingsInvalid`` with a list of all errors."""
     problems = Problems()
     parser = read_ini(path, problems)
     kinds: dict[str, Any] = {
@@ -100,38 +104,38 @@
             remedy = "use [table], [route NAME], [service NAME] or [backend NAME]"
             problems.add(f"[{title}]", "unknown section", remedy)
     if not problems.lines and table is None:
-        problems.add("[table]", "missing section", "add it with a version")
+        problems.add("[table]", "missing section", "add it, with a version")
     _check_services(found, problems)
     if problems.lines or table is None:
         raise SettingsInvalid(problems.text())
     return StateSnapshot(
         SourcePosition(revision=table.version),
         _table(table, found),
-        {name: _entry(name, options) for name, options in found["backend"].items()},
+        {name: _backend_entry(name, options) for name, options in found["backend"].items()},
     )
 
 
 class RoutesFile(StateSource):
-    """Follows a routes file."""
+    """Watches a routes file for changes."""
 
     def __init__(self, path: Path) -> None:
-        """Read from ``path``."""
+        """Create a source that reads ``path``."""
         self._path = path
-        self._changed_ns = 0
+        self._mtime_ns = 0
 
     async def read(self) -> StateSnapshot:
-        """Return what the file says; its version is the position."""
+        """Return the contents of the file; its version is the position."""
         try:
-            self._changed_ns = self._path.stat().st_mtime_ns
+            self._mtime_ns = self._path.stat().st_mtime_ns
             return read_routes(self._path)
         except (OSError, SettingsInvalid) as error:
             raise PlatformUnavailable(f"{self._path}: {error}") from None
 
     async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
-        """Return nothing while the file stays as it is; raises ``HistoryGone`` when it changed."""
+        """Return no changes; raises ``HistoryGone`` if the file was modified."""
         await asyncio.sleep(min(POLL_S, longest_s))
         try:
-            if self._path.stat().st_mtime_ns != self._changed_ns:
+            if self._path.stat().st_mtime_ns != self._mtime_ns:
                 raise HistoryGone(f"{self._path} has changed")
         except OSError as error:
             raise PlatformUnavailable(f"{self._path}: {error}") from None
@@ -191,7 +195,7 @@
     return ServiceSpec(name, engine=traits)
 
 
-def _entry(name: str, options: BackendOptions) -> BackendEntry:
+def _backend_entry(name: str, options: BackendOptions) -> BackendEntry:
     return BackendEntry(
         name,
         options.service,
--- a/src/yokedock/connection/short_call.py
+++ b/src/yokedock/connection/short_call.py
@@ -1,8 +1,8 @@
-"""One call on a connection of a pool: connect, send, read the whole answer, keep or drop.
+"""A single request and response over a pooled connection.
 
-A small answer must be whole within a fixed time. One that may be large is limited by its progress
-instead: how long it takes depends on its size and on the link, and a read that is given up while it
-flows begins again at nothing, so that on a narrow link it would never end.
+A small response must be complete within a fixed time. For one that may be large, the limit is on
+its progress instead: its duration depends on its size and on the bandwidth, and a transfer that is
+aborted while it makes progress restarts from zero, so that over a slow link it would never finish.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ShortCall(msgspec.Struct, frozen=True):
-    """What is sent; the Host header and the length are added."""
+    """A request; the headers Host and Content-Length are added."""
 
     method: bytes
     target: bytes
@@ -32,49 +32,49 @@
 
 
 class ShortAnswer(msgspec.Struct, frozen=True):
-    """Status, body and head of an answer."""
+    """A complete response."""
 
     status: int
     body: bytes
     head: AnswerHead
     opened_ms: int
-    """Time of day at which its connection was opened."""
+    """Wall-clock time at which its connection was opened, in Unix milliseconds."""
     sent_ms: int
-    """Time of day at which its request was sent."""
+    """Wall-clock time at which its request was sent, in Unix milliseconds."""
 
 
 class AnswerProgress(msgspec.Struct, frozen=True):
-    """Limits for an answer that may be large, once its head has come."""
+    """Time limits for the body of a response that may be large."""
 
     stall_s: float
-    """Seconds without any byte after which the answer is given up."""
+    """The response is aborted after this many seconds without data."""
     longest_s: float
-    """Seconds from the sending after which it is given up although it flows."""
+    """It is aborted this many seconds after the request was sent, even if data arrives."""
 
 
 class CallLimits(msgspec.Struct, frozen=True):
-    """Seconds to connect, and from then on to the whole answer."""
+    """Limits for a request and its response; times in seconds."""
 
     connect_s: float
     answer_s: float
-    """To the whole answer; to its head where ``progress`` limits the rest."""
+    """From connect to the complete response; only to its head if ``progress`` is set."""
     longest_rest_s: float = LONGEST_REST_S
-    """A kept connection that rested for longer is not used."""
+    """An idle connection is not reused after more than this time."""
     progress: AnswerProgress | None = None
     most_bytes: int = MAX_ANSWER_BYTES
-    """An answer that announces or has more is given up (``AnswerTooLong``)."""
+    """A response whose body or Content-Length exceeds this is aborted (``AnswerTooLong``)."""
 
 
-class ReadShare(msgspec.Struct):
-    """How much of an answer has come, for whoever looks on while it is read."""
+class ReadProgress(msgspec.Struct):
+    """Progress of a response that is being read, for observers."""
 
     received_bytes: int = 0
-    announced_bytes: int = 0
-    """Length that the head told, 0 before it or without one."""
+    content_length: int = 0
+    """Value of Content-Length; 0 if it is missing or the head was not received yet."""
 
     def value(self) -> float:
-        """Return the share of the body that has come, 0 where its length is not known."""
-        return self.received_bytes / self.announced_bytes if self.announced_bytes else 0.0
+        """Return the received fraction of the body, 0 if its length is not known."""
+        return self.received_bytes / self.content_length if self.content_length else 0.0
 
 
 async def short_call(
@@ -82,14 +82,15 @@
     address: str,
     call: ShortCall,
     limits: CallLimits,
-    share: ReadShare | None = None,
+    share: ReadProgress | None = None,
 ) -> ShortAnswer:
-    """Send a call and return the answer; a connection with a lost answer is never used again.
+    """Send a request and return the response.
 
-    ``share`` is kept up to date while the answer comes.
+    ``share`` is updated while the body is received. A connection on which the response was not read
+    completely is never reused.
 
-    Raises ``BackendUnreachable`` if nothing was sent, ``BackendBroken`` if there is no whole answer
-    (``BackendSilent`` if there is none in time).
+    Raises ``BackendUnreachable`` if nothing was sent, ``BackendBroken`` if no complete response was
+    received (``BackendSilent`` if it timed out).
     """
     async with _connection(pool, address, limits) as connection:
         sent_s = asyncio.get_running_loop().time()
@@ -98,17 +99,17 @@
                 head = RequestHead((), call.method, call.target)
                 await connection.send(head, [(b"Host", address.encode()), *call.headers], call.body)
                 answer = await connection.read_head(lambda _: True)
-                announced_bytes = _announced_bytes(answer)
-                if announced_bytes > limits.most_bytes:
-                    message = f"the answer has {announced_bytes} bytes, over {limits.most_bytes}"
+                content_length = _content_length(answer)
+                if content_length > limits.most_bytes:
+                    message = f"response body of {content_length} bytes exceeds {limits.most_bytes}"
                     raise AnswerTooLong(f"{address}: {message}")
-                share = share or ReadShare()
-                share.announced_bytes = announced_bytes
+                share = share or ReadProgress()
+                share.content_length = content_length
                 parts = []
                 async for part in connection.body_parts(limits.most_bytes):
                     parts.append(part)
                     share.received_bytes += len(part)
-                    _extend(time_limit, sent_s, limits.progress)
+                    _extend_deadline(time_limit, sent_s, limits.progress)
                 return ShortAnswer(
                     answer.status,
                     b"".join(parts),
@@ -118,18 +119,18 @@
                 )
         except TimeoutError:
             took_s = asyncio.get_running_loop().time() - sent_s
-            state = f"{connection.received_bytes} bytes in {took_s:.1f} s, not whole"
+            state = f"timed out with {connection.received_bytes} bytes received in {took_s:.1f} s"
             raise BackendSilent(f"{address}: {state}: {call.target.decode()}") from None
 
 
-def _announced_bytes(head: AnswerHead) -> int:
-    """Return the length of the body that the head tells, 0 if it tells none."""
+def _content_length(head: AnswerHead) -> int:
+    """Return the value of Content-Length, 0 if it is missing or invalid."""
     announced = head.get(b"content-length") or ""
     return int(announced) if announced.isdecimal() else 0
 
 
-def _extend(time_limit: Patience, sent_s: float, progress: AnswerProgress | None) -> None:
-    """Give an answer that has just made progress its time to the next part."""
+def _extend_deadline(time_limit: Patience, sent_s: float, progress: AnswerProgress | None) -> None:
+    """Extend the deadline of a response after it has made progress."""
     if progress is not None:
         now_s = asyncio.get_running_loop().time()
         time_limit.reschedule(min(now_s + progress.stall_s, sent_s + progress.longest_s))
@@ -139,7 +140,7 @@
 async def _connection(
     pool: BackendPool, address: str, limits: CallLimits
 ) -> AsyncIterator[BackendConnection]:
-    """Take a connection from the pool; it goes back only if its answer was read whole."""
+    """Take a connection from the pool; return it only if the response was read completely."""
     connection = await pool.take(address, limits.connect_s, limits.longest_rest_s)
     is_whole = False
     try:
--- a/src/yokedock/connection/state_source.py
+++ b/src/yokedock/connection/state_source.py
@@ -1,4 +1,4 @@
-"""Where the router learns its routes and backends: a narrow interface and its typed answers."""
+"""The interface through which the router reads its routes and backends."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class BackendEntry(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One live backend as its registry lists it."""
+    """A live backend as listed in the registry."""
 
     instance: str
-    """Identifier of this incarnation."""
+    """Identifier of this backend process."""
     service: str
     address: str
     zone: str = ""
@@ -23,50 +23,50 @@
     role: str = ""
     """``prefill`` or ``decode`` for a model engine, else empty."""
     born_ms: int = 0
-    """Unix millisecond at which this life began, 0 if it does not say: it may start anew under the
-    identifier that it had."""
+    """Start time of the backend in Unix milliseconds, 0 if unknown: a backend may restart under its
+    previous identifier."""
     revision: int = 0
-    """Of the source, at which the entry was written; 0 if unknown."""
+    """Revision of the source at which the entry was written; 0 if unknown."""
 
 
 class StateSnapshot(msgspec.Struct, frozen=True):
-    """All that the source knows at ``position``."""
+    """The full state of the source at ``position``."""
 
     position: SourcePosition
     table: RouteTable | None
     backends: dict[str, BackendEntry]
     undecoded: tuple[str, ...] = ()
-    """Items that were not understood: they name no backend; a table before stays in force."""
+    """Items that could not be decoded: they add no backend, and a previous table stays in force."""
 
 
 class StateChanges(msgspec.Struct, frozen=True):
-    """What has changed since an earlier position."""
+    """The changes since an earlier position."""
 
     position: SourcePosition
     table: RouteTable | None = None
     changed: tuple[BackendEntry, ...] = ()
     gone: tuple[str, ...] = ()
     undecoded: tuple[str, ...] = ()
-    """Items that were not understood: a backend of that name is gone; a table before stays."""
+    """Items that could not be decoded: such a backend is removed, a previous table stays."""
 
 
 class StateSource(abc.ABC):
-    """Reads state. Every call raises ``PlatformUnavailable`` when there is no sound answer."""
+    """Reads state. Every call raises ``PlatformUnavailable`` if there is no valid response."""
 
     is_shared = False
-    """Whether all routers read one source, so that a few may read it for the others."""
+    """Whether all routers read the same source, so that a few may read it for the others."""
 
     @abc.abstractmethod
     async def read(self) -> StateSnapshot:
-        """Return everything."""
+        """Return the full state."""
 
     @abc.abstractmethod
     async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
-        """Return what has changed after ``position``, or nothing after ``longest_s``.
+        """Return the changes after ``position``, or no changes after ``longest_s``.
 
-        Raises ``HistoryGone`` when the source no longer knows what came after ``position``.
+        Raises ``HistoryGone`` if the source no longer has the changes after ``position``.
         """
 
     def share_read(self) -> float:
-        """Return how much of the answer under way has come, from 0 to 1; 0 if that is not known."""
+        """Return the received fraction (0 to 1) of the response in progress; 0 if unknown."""
         return 0.0
