--- a/features/steps/peer_link_steps.py
+++ b/features/steps/peer_link_steps.py
@@ -4,7 +4,7 @@
 from behave import given, then, when
 
 from yokedock.connection.peer_listener import PeerListener
-from yokedock.connection.peer_reader import FrameArrived, LinkUp, PeerReader
+from yokedock.connection.peer_reader import FrameReceived, LinkUp, PeerReader
 from yokedock.connection.peer_types import PeerIdentity, PeerTiming
 from yokedock.connection.secure_session import LOOPBACK_KEY
 from yokedock.messages import Frame, Release
@@ -44,7 +44,7 @@
         if isinstance(message, LinkUp):
             self._session = message.session
             self._is_up.set()
-        elif isinstance(message, FrameArrived):
+        elif isinstance(message, FrameReceived):
             self._note("dialling end", message.frame)
             if self._reads_nothing:
                 self._may_read.wait(LIMIT_S)
@@ -76,7 +76,7 @@
     def close(self):
         self._may_read.set()
         self._reader.stop()
-        self._listener.hang_up_all()
+        self._listener.disconnect_all()
         self._listener.close()
         self._reader.join(LIMIT_S)
 
--- a/features/steps/silent_steps.py
+++ b/features/steps/silent_steps.py
@@ -214,7 +214,7 @@
     engines = registry.usable("llm")
     rates = {e.name: (e.entry.role, round(pace.prefill_rate(e.name))) for e in engines}
     failures = {e.name: round(e.health.failure_rate(time.monotonic()), 2) for e in engines}
-    resting = {address: len(kept) for address, kept in router._pool._resting.items()}
+    resting = {address: len(kept) for address, kept in router._pool._idle.items()}
     return rates, failures, sorted(registry._all_changing), resting
 
 
--- a/features/support/budget_properties.py
+++ b/features/support/budget_properties.py
@@ -66,8 +66,8 @@
             for other in range(self.size):
                 is_beyond = (other < self.cut_at) != (number < self.cut_at)
                 if other != number and not is_beyond and not self.is_dead[other]:
-                    gossip._know(str(other)).heard_s = self.clock.now_s
-            gossip._notice_silence()
+                    gossip._add_router(str(other)).heard_s = self.clock.now_s
+            gossip._detect_silent_routers()
 
     def ask(self, number):
         """Let a caller's request reach a router."""
--- a/features/support/connection_properties.py
+++ b/features/support/connection_properties.py
@@ -5,12 +5,12 @@
 
 from yokedock.connection.backend_connection import BackendConnection
 from yokedock.connection.caller_connection import CallerConnection
-from yokedock.connection.http_heads import whole_answer
+from yokedock.connection.http_heads import complete_response
 from yokedock.version.route_table import CallerLimits
 
 REQUEST = b"POST /x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n"
 LIMIT_S = 5.0
-STOOD_STILL_S = 0.3
+STALL_THRESHOLD_S = 0.3
 
 
 class StoppingServer:
@@ -32,7 +32,7 @@
 
     async def _answer(self, request, answer):
         self.answered += 1
-        await answer.whole(*whole_answer(200, b"ok"))
+        await answer.whole(*complete_response(200, b"ok"))
         # The answer is out and did not announce the close.
         self.connection.is_closing = True
 
@@ -86,7 +86,7 @@
         for _ in range(5):
             connecting = asyncio.create_task(BackendConnection.connect(f"{host}:{port}", 0.1))
             await asyncio.sleep(0)
-            time.sleep(STOOD_STILL_S)
+            time.sleep(STALL_THRESHOLD_S)
             (await connecting).abort()
 
     asyncio.run(play())
@@ -105,7 +105,7 @@
             await asyncio.sleep(0.005)
         await asyncio.sleep(0.02)
         writer.write(REQUEST[20:])
-        time.sleep(STOOD_STILL_S)
+        time.sleep(STALL_THRESHOLD_S)
         assert b" 200 " in await read_answer(reader)
 
     asyncio.run(play())
--- a/features/support/fleet_properties.py
+++ b/features/support/fleet_properties.py
@@ -11,7 +11,7 @@
 from yokedock.request.queued_placement import QueuedPlacement
 from yokedock.request.waiter import Turn
 
-LEAST_GAP_S = 0.01
+MIN_SEND_INTERVAL_S = 0.01
 WAY_S = 0.004
 """Routers speak at most this often; a datagram takes so long."""
 
@@ -49,7 +49,7 @@
     def _change(self):
         if not self._is_speaking:
             self._is_speaking = True
-            gap_s = max(0.0, self._spoke_s + LEAST_GAP_S - boot_time_s())
+            gap_s = max(0.0, self._spoke_s + MIN_SEND_INTERVAL_S - boot_time_s())
             asyncio.get_running_loop().call_later(gap_s, self._speak)
 
     def _speak(self):
--- a/features/support/fuzz_properties.py
+++ b/features/support/fuzz_properties.py
@@ -101,7 +101,7 @@
     names = (b"X-Deadline-Ms", b"Last-Event-Id", b"X-Tokens", b"X-Prompt-Parts", b"X-Output-Hint")
     head = RequestHead(tuple(zip(names, values, strict=False)), b"POST", b"/x")
     try:
-        HeaderDialect().call_terms(head)
+        HeaderDialect().request_metadata(head)
     except YokedockError:
         return
 
--- a/features/support/limit_properties.py
+++ b/features/support/limit_properties.py
@@ -8,9 +8,9 @@
 
 from support.limit_fleet import SETTLED_S, TOLD_S, WINDOW_S, LimitFleet
 from support.stream_properties import Clock
-from yokedock.connection.dialect import AnswerNotes
+from yokedock.connection.dialect import ResponseMetadata
 from yokedock.connection.header_dialect import HeaderDialect
-from yokedock.connection.http_heads import AnswerHead
+from yokedock.connection.http_heads import ResponseHead
 from yokedock.connection.router_state import LimitShare
 from yokedock.connection.state_source import BackendEntry
 from yokedock.request.backend_gossip import BackendGossip
@@ -194,7 +194,7 @@
 
 
 def head(status, *headers):
-    return AnswerHead(tuple((n.encode(), v.encode()) for n, v in headers), status)
+    return ResponseHead(tuple((n.encode(), v.encode()) for n, v in headers), status)
 
 
 def limits_are_read_strictly():
@@ -204,13 +204,13 @@
     none = ("", "-1", "nan", "inf", "-inf", "9" * 400, "soon", "1,5", "0x10", "1.3/s")
     for text, per_s in told.items():
         for status in (200, 421, 500, 503):
-            notes = dialect.answer_notes(head(status, ("x-backend-limit", text)))
+            notes = dialect.response_metadata(head(status, ("x-backend-limit", text)))
             assert notes.limit_per_s == per_s, (text, notes)
     for text in none:
-        said = dialect.answer_notes(head(200, ("X-Backend-Limit", text)))
-        assert said.limit_per_s is None and said.is_limit_odd, text
-    said = dialect.answer_notes(head(200))
-    assert said.limit_per_s is None and not said.is_limit_odd
+        said = dialect.response_metadata(head(200, ("X-Backend-Limit", text)))
+        assert said.limit_per_s is None and said.is_limit_invalid, text
+    said = dialect.response_metadata(head(200))
+    assert said.limit_per_s is None and not said.is_limit_invalid
 
 
 SERVICE = "plain"
@@ -221,7 +221,7 @@
 
 
 def notes(limit_per_s, **said):
-    return AnswerNotes("r", is_not_run=False, is_signed=True, limit_per_s=limit_per_s, **said)
+    return ResponseMetadata("r", is_not_run=False, is_signed=True, limit_per_s=limit_per_s, **said)
 
 
 def a_limit_belongs_to_one_life():
@@ -233,7 +233,7 @@
         registry.update([entry("a", born_ms=1_000_000)], ())
         limit = registry.get("a@1000000").limit
         assert (limit.per_s is not None) is is_limited, opened_ms
-    registry.get("a@1000000").apply_notices(notes(None, is_elsewhere=True), 200.0, 0, 199.0)
+    registry.get("a@1000000").apply_notices(notes(None, is_misdirected=True), 200.0, 0, 199.0)
     assert limit.per_s == 1.0, "another backend at its address has said nothing of this one"
 
 
@@ -243,11 +243,11 @@
     registry = BackendRegistry("", clock)
     registry.update([entry("a")], ())
     backend = registry.get("a")
-    backend.apply_notices(notes(None, is_limit_odd=True), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(None, is_limit_invalid=True), clock.now_s, 0, clock.now_s)
     assert backend.limit.rate is None
     backend.apply_notices(notes(2.0), clock.now_s, 0, clock.now_s)
     clock.now_s += 1.0
-    backend.apply_notices(notes(None, is_limit_odd=True), clock.now_s, 0, clock.now_s)
+    backend.apply_notices(notes(None, is_limit_invalid=True), clock.now_s, 0, clock.now_s)
     assert backend.limit.per_s == 2.0
     backend.apply_notices(notes(None), clock.now_s, 0, clock.now_s)
     assert backend.limit.per_s is None
--- a/features/support/notice_properties.py
+++ b/features/support/notice_properties.py
@@ -7,9 +7,9 @@
 
 from support.search import searched
 from support.stream_properties import Clock
-from yokedock.connection.dialect import AnswerNotes
+from yokedock.connection.dialect import ResponseMetadata
 from yokedock.connection.header_dialect import HeaderDialect
-from yokedock.connection.http_heads import AnswerHead, RequestHead
+from yokedock.connection.http_heads import RequestHead, ResponseHead
 from yokedock.connection.state_source import BackendEntry
 from yokedock.errors import BadRequest
 from yokedock.request.backend_gossip import BackendGossip
@@ -36,12 +36,12 @@
 
 def notes(**said):
     """Return what an answer says."""
-    return AnswerNotes("r", is_not_run=False, is_signed=True, **said)
+    return ResponseMetadata("r", is_not_run=False, is_signed=True, **said)
 
 
 def head(status, *headers):
     """Return the head of an answer."""
-    return AnswerHead(tuple((n.encode(), v.encode()) for n, v in headers), status)
+    return ResponseHead(tuple((n.encode(), v.encode()) for n, v in headers), status)
 
 
 def times_to_rest_are_read_strictly():
@@ -51,15 +51,15 @@
     none += ("inf", "Infinity", "9" * 400, "1e999", "1_0", "\u0663")
     dialect = HeaderDialect()
     for text, rest_s in told.items():
-        said = dialect.answer_notes(head(503, ("Retry-After", text)))
+        said = dialect.response_metadata(head(503, ("Retry-After", text)))
         assert said.rest_s == rest_s, (text, said)
-        assert dialect.answer_notes(head(200, ("Retry-After", text))).rest_s is None
+        assert dialect.response_metadata(head(200, ("Retry-After", text))).rest_s is None
     for text in none:
-        assert dialect.answer_notes(head(503, ("retry-after", text))).rest_s is None, text
-    assert dialect.not_understood == len(none), dialect.not_understood
+        assert dialect.response_metadata(head(503, ("retry-after", text))).rest_s is None, text
+    assert dialect.invalid_values == len(none), dialect.invalid_values
     for text, is_leaving in {"1": True, "0": False, "": False, "true": False}.items():
         for status in (200, 421, 500, 503):
-            said = dialect.answer_notes(head(status, ("x-backend-leaving", text)))
+            said = dialect.response_metadata(head(status, ("x-backend-leaving", text)))
             assert said.is_leaving is is_leaving, (text, said)
 
 
@@ -68,12 +68,14 @@
     dialect = HeaderDialect()
     many = "9" * 5_000
     for text in (many, f"1,{many},4", "1,2,3,4", "-1,0,4", "1,,4", "x"):
-        assert dialect.answer_notes(head(200, ("X-Backend-Load", text))).load is None, text[:20]
-    assert dialect.answer_notes(head(200, ("X-Backend-Load", "1, 0,4"))).load is not None
+        assert dialect.response_metadata(head(200, ("X-Backend-Load", text))).load is None, text[
+            :20
+        ]
+    assert dialect.response_metadata(head(200, ("X-Backend-Load", "1, 0,4"))).load is not None
     for name, text in (("X-Tokens", f"{many},1"), ("X-Deadline-Ms", many), ("X-Tokens", "1,x")):
         request = RequestHead(((name.encode(), text.encode()),), b"POST", b"/")
         try:
-            dialect.call_terms(request)
+            dialect.request_metadata(request)
         except BadRequest:
             continue
         raise AssertionError(f"{name} of {len(text)} digits was believed")
--- a/features/support/reservation_properties.py
+++ b/features/support/reservation_properties.py
@@ -4,19 +4,19 @@
 import contextlib
 
 from yokedock.base.clock import boot_time_s
-from yokedock.connection.dialect import AnswerNotes, CallTerms
-from yokedock.connection.http_heads import AnswerHead, RequestHead
+from yokedock.connection.dialect import RequestMetadata, ResponseMetadata
+from yokedock.connection.http_heads import RequestHead, ResponseHead
 from yokedock.connection.state_source import BackendEntry
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
-from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.request.routed_call import BufferedResponse, RoutedCall
 from yokedock.request.unary_call import UnaryCalls
 from yokedock.router_errors import BackendUnreachable, BackendUnresponsive
 from yokedock.version.route_table import Route, RouteKind, ServiceSpec, WeightedTarget
 
 SERVICE = "plain"
 TIME_LEFT_S = 9.0
-REST_REFUSAL = AnswerNotes("other", is_not_run=True, is_signed=False, rest_s=60.0)
+REST_REFUSAL = ResponseMetadata("other", is_not_run=True, is_signed=False, rest_s=60.0)
 
 
 class RequestStub:
@@ -54,7 +54,7 @@
             self._exchanges.after_reservation()
         if self._is_slow and patience_s < TIME_LEFT_S / 2:
             raise BackendUnresponsive(f"{self.backend.name} gave no answer")
-        return BufferedAnswer(AnswerHead((), 200, b"OK"), self.backend.name.encode())
+        return BufferedResponse(ResponseHead((), 200, b"OK"), self.backend.name.encode())
 
 
 class ExchangesStub:
@@ -88,7 +88,7 @@
     targets = (WeightedTarget(SERVICE),)
     kind = RouteKind.REPEATABLE
     route = Route("r", "h", "/", kind, TIME_LEFT_S, 1.0, targets, max_attempts=3)
-    terms = CallTerms("call-1", TIME_LEFT_S)
+    terms = RequestMetadata("call-1", TIME_LEFT_S)
     call = RoutedCall(RequestStub(), None, terms, route, ServiceSpec(SERVICE))
     with allowance.request(SERVICE, call.request_id) as retries:
         answer = await calls._serve(call, retries)
--- a/features/support/restored_properties.py
+++ b/features/support/restored_properties.py
@@ -8,7 +8,7 @@
 from support.search import searched
 from support.stream_properties import Clock
 from yokedock.base.clock import wall_clock_ms
-from yokedock.connection.http_heads import AnswerHead
+from yokedock.connection.http_heads import ResponseHead
 from yokedock.connection.router_state import RouterState, StateNews
 from yokedock.connection.short_call import ShortAnswer
 from yokedock.connection.source_position import NO_ERA, SourcePosition
@@ -64,7 +64,7 @@
     async def read(self):
         raise NotImplementedError
 
-    async def wait(self, position, longest_s):
+    async def wait(self, position, max_duration_s):
         raise NotImplementedError
 
 
@@ -121,7 +121,7 @@
     async def read(self):
         return self.snapshot()
 
-    async def wait(self, position, longest_s):
+    async def wait(self, position, max_duration_s):
         return StateChanges(self.position)
 
 
@@ -381,12 +381,12 @@
     def __init__(self, *pages):
         self._pages = list(pages)
 
-    async def get(self, target, head_timeout_s, most_bytes=0):
+    async def get(self, target, head_timeout_s, max_bytes=0):
         era, at = self._pages.pop(0)
         item = StoredItem(f"servers/i-{len(self._pages)}", gone=True)
         page = RangePage((item,), more=bool(self._pages), at=at)
         headers = ((b"Store-Era", str(era).encode()),) if era else ()
-        head = AnswerHead(headers, 200, b"OK")
+        head = ResponseHead(headers, 200, b"OK")
         return ShortAnswer(200, msgspec.json.encode(page), head, 0, 0)
 
 
--- a/features/support/resume_properties.py
+++ b/features/support/resume_properties.py
@@ -5,10 +5,10 @@
 from support.search import searched
 from yokedock.errors import PeerUnreachable, StreamGap
 from yokedock.messages import StreamTokens
-from yokedock.request.answer_stream import AnswerStream, AnswerWriter
+from yokedock.request.answer_stream import AnswerStream, ResponseWriter
 
 
-class KeptWriter(AnswerWriter):
+class KeptWriter(ResponseWriter):
     """Keeps what a caller would get."""
 
     def __init__(self):
--- a/features/support/router_world.py
+++ b/features/support/router_world.py
@@ -110,7 +110,7 @@
             raise PlatformUnavailable("silent")
         return self.snapshot
 
-    async def wait(self, position, longest_s):
+    async def wait(self, position, max_duration_s):
         if self.is_silent:
             raise PlatformUnavailable("silent")
         change = await self._changes.get()
@@ -300,8 +300,8 @@
 
     def reset(self):
         """Close with a reset, from within the loop."""
-        own_socket = self._writer.get_extra_info("socket")
-        own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        sock = self._writer.get_extra_info("socket")
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._writer.transport.abort()
 
     def end_sending(self):
--- a/features/support/simulation_properties.py
+++ b/features/support/simulation_properties.py
@@ -166,9 +166,9 @@
     async def play():
         await start_echo_process()
         reader, writer = await asyncio.open_connection(HOST, PORT)
-        own_socket = writer.get_extra_info("socket")
-        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2500)
-        own_socket.stream.is_silent = True
+        sock = writer.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2500)
+        sock.stream.is_silent = True
         writer.write(b"a")
         began_s = boot_time_s()
         try:
--- a/features/support/soak.py
+++ b/features/support/soak.py
@@ -33,7 +33,7 @@
     request_id: str
     gateway: str
     sent_s: float
-    has_left: bool = False
+    has_disconnected: bool = False
 
 
 @dataclasses.dataclass
@@ -112,10 +112,10 @@
         self.streams.append(SentStream(caller, request_id, gateway, boot_time_s()))
 
     def _maybe_leave(self):
-        waiting = [s for s in self.streams if s.caller.is_waiting() and not s.has_left]
+        waiting = [s for s in self.streams if s.caller.is_waiting() and not s.has_disconnected]
         if waiting and self._random.random() < SHARE_LEFT:
             stream = self._random.choice(waiting)
-            stream.has_left = True
+            stream.has_disconnected = True
             stream.caller.close()
 
     # --- Faults ---
--- a/features/support/stream_properties.py
+++ b/features/support/stream_properties.py
@@ -8,7 +8,7 @@
 
 from support.search import searched
 from yokedock.base.clock import boot_time_s
-from yokedock.connection.dialect import CallTerms, GenerationTerms, PromptPart
+from yokedock.connection.dialect import GenerationParameters, PromptPart, RequestMetadata
 from yokedock.connection.router_state import QueueShare
 from yokedock.connection.state_source import BackendEntry
 from yokedock.errors import NoDecodeCapacity
@@ -57,7 +57,9 @@
     route = Route(
         "chat", "h", "/", RouteKind.STREAM, 14.0, 0.9, (WeightedTarget("llm"),), gap_target_s=0.3
     )
-    terms = CallTerms("r", deadline_s, generation=GenerationTerms("m", prompt_tokens, 100))
+    terms = RequestMetadata(
+        "r", deadline_s, generation=GenerationParameters("m", prompt_tokens, 100)
+    )
     return RoutedCall(CallStub(arrived_s), None, terms, route, ServiceSpec("llm", engine=TRAITS))
 
 
@@ -322,8 +324,8 @@
     async def play():
         lookup = HeldLookup()
         call = generation(0.0)
-        terms = GenerationTerms("m", 100, 100, (PromptPart("ab", 100),))
-        call.terms = CallTerms("r", 14.0, generation=terms)
+        terms = GenerationParameters("m", 100, 100, (PromptPart("ab", 100),))
+        call.terms = RequestMetadata("r", 14.0, generation=terms)
         first = asyncio.create_task(lookup.engines_with_prompt(call))
         second = asyncio.create_task(lookup.engines_with_prompt(call))
         await asyncio.sleep(0)
--- a/features/support/upkeep_properties.py
+++ b/features/support/upkeep_properties.py
@@ -9,8 +9,8 @@
 from support.router_properties import Clock
 from yokedock.base.logs import BoundedJsonLinesHandler, LineBudget, LineWriter, logger
 from yokedock.base.telemetry import TelemetryGuard
-from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.caller_connection import CallerConnection
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.connection.state_source import BackendEntry
 from yokedock.errors import YokedockError
 from yokedock.process.leadership import Leadership, Vote
@@ -221,11 +221,11 @@
     """Run a handler that fails behind its answer; return (was cut, bytes sent)."""
     import h11
 
-    from yokedock.connection.http_heads import whole_answer
+    from yokedock.connection.http_heads import complete_response
     from yokedock.version.route_table import CallerLimits
 
     async def handle(request, answer):
-        await answer.whole(*whole_answer(200, b"whole"))
+        await answer.whole(*complete_response(200, b"whole"))
         raise error
 
     transport = SilentTransport()
@@ -238,7 +238,7 @@
         class head:
             path = "/"
 
-    await connection._run_handler(Request, AnswerWriter(connection))
+    await connection._run_handler(Request, ResponseWriter(connection))
     return transport.was_cut, transport.data.getvalue()
 
 
--- a/features/support/watch_properties.py
+++ b/features/support/watch_properties.py
@@ -33,7 +33,7 @@
 ROUTERS = 68
 WAY_S = 0.004
 INTERVAL_S = 0.3
-LEAST_GAP_S = 0.01
+MIN_SEND_INTERVAL_S = 0.01
 FETCH_S = 0.3
 """Time until a router that is behind has fetched another's state."""
 SILENT_S = 1.5
@@ -67,13 +67,13 @@
         self._changed.set()
         self._changed = asyncio.Event()
 
-    async def wait(self, position, longest_s):
+    async def wait(self, position, max_duration_s):
         """Return what changed after a revision."""
         if position.revision > self.position.revision:
             raise HistoryUnavailable("the revision is newer than the store")
         if position.revision == self.position.revision:
             try:
-                await asyncio.wait_for(self._changed.wait(), longest_s)
+                await asyncio.wait_for(self._changed.wait(), max_duration_s)
             except TimeoutError:
                 return StateChanges(self.position)
         newer = {
@@ -99,14 +99,14 @@
         entries = {entry.instance: entry for _, entry in self._store.events}
         return StateSnapshot(self._store.position, RouteTable(1, (), {}), entries)
 
-    async def wait(self, position, longest_s):
+    async def wait(self, position, max_duration_s):
         self._store.calls += 1
         if self.state == "refused":
             raise PlatformUnavailable("refused")
         asked_s = boot_time_s()
-        changes = await self._store.wait(position, longest_s)
+        changes = await self._store.wait(position, max_duration_s)
         if self.state == "silent":
-            await asyncio.sleep(asked_s + longest_s + SLACK_S - boot_time_s())
+            await asyncio.sleep(asked_s + max_duration_s + SLACK_S - boot_time_s())
             raise PlatformUnavailable("silent")
         return changes
 
@@ -135,7 +135,7 @@
     def _tell_soon(self):
         if not self._is_telling:
             self._is_telling = True
-            asyncio.get_running_loop().call_later(LEAST_GAP_S, self.tell)
+            asyncio.get_running_loop().call_later(MIN_SEND_INTERVAL_S, self.tell)
 
     def tell(self):
         """Tell all others what a router tells of its state."""
--- a/src/yokedock/connection/backend_connection.py
+++ b/src/yokedock/connection/backend_connection.py
@@ -18,7 +18,7 @@
 from yokedock.base.clock import boot_time_s, wall_clock_ms
 from yokedock.base.read_first_timeout import ReadFirstTimeout
 from yokedock.base.sockets import new_socket
-from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
+from yokedock.connection.http_heads import Header, RequestHead, ResponseHead
 from yokedock.router_errors import (
     BackendConnectionClosed,
     BackendResponseError,
@@ -33,12 +33,12 @@
 MAX_HEAD_BYTES = 65_536
 USER_TIMEOUT_MS = 2_500
 """TCP_USER_TIMEOUT: the kernel drops a connection whose data is unacknowledged for this long."""
-LONGEST_REST_S = 4.0
+MAX_IDLE_S = 4.0
 """Connections that were idle for longer are not reused."""
 KEEP_ALIVE_SHARE = 0.7
 """Fraction of the backend's keep-alive timeout for which an idle connection is reused."""
 
-ResponseMatcher = Callable[[AnswerHead], bool]
+ResponseMatcher = Callable[[ResponseHead], bool]
 
 
 class BackendConnection:
@@ -66,7 +66,7 @@
         self._writer = writer
         self._parser: h11.Connection | None = None
         self._idle_since_s = boot_time_s()
-        self._reusable_until_s = self._idle_since_s + LONGEST_REST_S
+        self._reusable_until_s = self._idle_since_s + MAX_IDLE_S
         self._can_reuse = True
         self._peer_closed = False
         """Whether the peer has closed its sending side."""
@@ -74,8 +74,8 @@
     @classmethod
     async def connect(cls, address: str, timeout_s: float) -> BackendConnection:
         """Open a connection; raises ``BackendUnreachable``, in which case nothing was sent."""
-        own_socket = await _connect_socket(address, timeout_s)
-        reader, writer = await asyncio.open_connection(sock=own_socket, limit=READ_BYTES)
+        sock = await _connect_socket(address, timeout_s)
+        reader, writer = await asyncio.open_connection(sock=sock, limit=READ_BYTES)
         return cls(address, reader, writer)
 
     @property
@@ -99,7 +99,7 @@
         """Return how long the connection has been idle, in seconds."""
         return boot_time_s() - self._idle_since_s
 
-    def awaited_since_s(self) -> float:
+    def awaiting_response_since_s(self) -> float:
         """Return since when the peer has been silent with a response outstanding (boot time)."""
         return max(self.sent_s, self.heard_s)
 
@@ -124,12 +124,12 @@
         except (OSError, RuntimeError) as error:
             raise BackendConnectionClosed(f"{self.address}: {error}") from None
 
-    async def read_head(self, is_ours: ResponseMatcher) -> AnswerHead:
+    async def read_head(self, is_ours: ResponseMatcher) -> ResponseHead:
         """Return the head of the response to the last request.
 
         Responses for which ``is_ours`` returns false belong to earlier requests and are discarded.
-        Raises ``BackendConnectionClosed`` if the connection is closed, ``BackendResponseError`` if the data is not a
-        valid HTTP response.
+        Raises ``BackendConnectionClosed`` if the connection is closed, ``BackendResponseError`` if
+        the data is not a valid HTTP response.
         """
         while True:
             head = await self._next_head()
@@ -140,8 +140,8 @@
     async def body_parts(self, limit: int | None = None) -> AsyncIterator[bytes]:
         """Yield the chunks of the body as they arrive.
 
-        Raises ``BackendConnectionClosed`` if the body is truncated, ``ResponseTooLarge`` if it exceeds ``limit``
-        bytes.
+        Raises ``BackendConnectionClosed`` if the body is truncated, ``ResponseTooLarge`` if it
+        exceeds ``limit`` bytes.
         """
         size = 0
         while True:
@@ -164,8 +164,8 @@
         """
         self._can_reuse = False
         if not self._writer.transport.is_closing():
-            own_socket = self._writer.get_extra_info("socket")
-            own_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
+            sock = self._writer.get_extra_info("socket")
+            sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         self._writer.transport.abort()
 
     def close(self) -> None:
@@ -173,7 +173,7 @@
         self._can_reuse = False
         self._writer.close()
 
-    async def _next_head(self) -> AnswerHead:
+    async def _next_head(self) -> ResponseHead:
         while True:
             event = await self._next_event()
             if isinstance(event, h11.InformationalResponse):
@@ -181,7 +181,7 @@
             if isinstance(event, h11.Response):
                 headers = tuple(event.headers.raw_items())
                 self._apply_keep_alive(headers)
-                return AnswerHead(headers, event.status_code, bytes(event.reason))
+                return ResponseHead(headers, event.status_code, bytes(event.reason))
             raise BackendConnectionClosed(f"{self.address}: connection closed before a response")
 
     async def _next_event(self) -> object:
@@ -238,8 +238,8 @@
         self._parser = parser
 
     def _apply_keep_alive(self, headers: tuple[Header, ...]) -> None:
-        head = AnswerHead(headers, 0)
-        rest_s = LONGEST_REST_S
+        head = ResponseHead(headers, 0)
+        rest_s = MAX_IDLE_S
         for part in (head.get(b"keep-alive") or "").split(","):
             name, _, value = part.strip().partition("=")
             if name.lower() == "timeout" and value.isdigit():
@@ -259,19 +259,19 @@
 async def _connect_socket(address: str, timeout_s: float) -> socket.socket:
     """Return a socket connected to ``address``; raises ``BackendUnreachable``.
 
-    The timeout covers only the wait for the peer, and ``ReadFirstTimeout`` lets a connection that is
-    already established win over an expired timer: a process that got no CPU time during the
+    The timeout covers only the wait for the peer, and ``ReadFirstTimeout`` lets a connection that
+    is already established win over an expired timer: a process that got no CPU time during the
     timeout would otherwise treat healthy backends as unreachable. At a load average of 25 on 8
     cores such backends were avoided for a second each, and 2 to 5 of 20,000 calls were refused.
     """
     host, _, port = address.rpartition(":")
     with contextlib.ExitStack() as cleanup:
-        own_socket = cleanup.enter_context(new_socket(socket.SOCK_STREAM))
-        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        sock = cleanup.enter_context(new_socket(socket.SOCK_STREAM))
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
         try:
             async with ReadFirstTimeout(timeout_s):
-                await asyncio.get_running_loop().sock_connect(own_socket, (host, int(port)))
+                await asyncio.get_running_loop().sock_connect(sock, (host, int(port)))
         except TimeoutError:
             raise BackendUnreachable(
                 f"{address}: connect timed out after {timeout_s:.2f} s"
@@ -279,4 +279,4 @@
         except OSError as error:
             raise BackendUnreachable(f"{address}: {error.strerror or error}") from None
         cleanup.pop_all()
-    return own_socket
+    return sock
--- a/src/yokedock/connection/caller_connection.py
+++ b/src/yokedock/connection/caller_connection.py
@@ -16,10 +16,10 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.base.read_first_timeout import ReadFirstTimeout
-from yokedock.connection.answer_writer import AnswerWriter
-from yokedock.connection.caller_presence import has_left
 from yokedock.connection.caller_request import CallerRequest, check_head
+from yokedock.connection.disconnect_detection import has_disconnected
 from yokedock.connection.http_heads import RequestHead
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.errors import BadRequest, ClientClosedConnection, PayloadTooLarge, YokedockError
 from yokedock.router_errors import HeaderTooLarge, RequestTimeout
 from yokedock.version.route_table import CallerLimits
@@ -39,7 +39,7 @@
 """
 
 
-Handler = Callable[[CallerRequest, AnswerWriter], Awaitable[None]]
+Handler = Callable[[CallerRequest, ResponseWriter], Awaitable[None]]
 
 
 class CallerConnection:
@@ -64,9 +64,9 @@
         """Set by the owner: the next response is the last and says ``Connection: close``."""
         self._close_unannounced = False
         self.is_idle = True
-        own_socket = writer.get_extra_info("socket")
-        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        own_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+        sock = writer.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
     async def serve(self) -> None:
         """Serve requests until either side closes the connection."""
@@ -104,9 +104,9 @@
         if data:
             self._writer.write(data)
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the caller has disconnected."""
-        return has_left(self._writer.get_extra_info("socket"))
+        return has_disconnected(self._writer.get_extra_info("socket"))
 
     async def drain(self) -> None:
         """Wait until the write buffer is below its high-water mark."""
@@ -122,7 +122,7 @@
         if self.is_idle and not self._has_request_data:
             self._writer.close()
 
-    def cancel_work(self) -> None:
+    def cancel_handler(self) -> None:
         """Cancel the handler of the request in flight."""
         if self._handler_task is not None:
             self._handler_task.cancel()
@@ -220,7 +220,7 @@
 
         Returns whether the connection can serve further requests.
         """
-        answer = AnswerWriter(self)
+        answer = ResponseWriter(self)
         task = asyncio.create_task(self._run_handler(request, answer))
         self._handler_task = task
         watch = asyncio.create_task(self._watch_disconnect(task))
@@ -236,14 +236,15 @@
             return False
         return True
 
-    async def _run_handler(self, request: CallerRequest, answer: AnswerWriter) -> None:
+    async def _run_handler(self, request: CallerRequest, answer: ResponseWriter) -> None:
         try:
             await self._handle(request, answer)
         except (OSError, ClientClosedConnection):
             self.abort()
 
-    async def _handle(self, request: CallerRequest, answer: AnswerWriter) -> None:
-        """Run the handler; raises ``OSError`` or ``ClientClosedConnection`` if the caller has disconnected."""
+    async def _handle(self, request: CallerRequest, answer: ResponseWriter) -> None:
+        """Run the handler; raises ``OSError`` or ``ClientClosedConnection`` if the caller has
+        disconnected."""
         try:
             await self._handler(request, answer)
         except (OSError, ClientClosedConnection):
@@ -254,7 +255,7 @@
             _log.exception("handler failed", path=request.head.path)
             await self._tell(answer, YokedockError("internal error; see the logs for details"))
 
-    async def _tell(self, answer: AnswerWriter, error: YokedockError) -> None:
+    async def _tell(self, answer: ResponseWriter, error: YokedockError) -> None:
         """Send an error to the caller, or abort a response that has started.
 
         An error raised after the response is complete is only logged.
@@ -282,7 +283,7 @@
                 self._parser.receive_data(data)
             else:
                 # A FIN behind unread data cannot be seen by reading, so the TCP state is polled.
-                while not self.has_left():
+                while not self.has_disconnected():
                     await asyncio.sleep(DISCONNECT_POLL_S)
         except OSError as error:
             _log.debug("connection lost", reason=repr(error))
@@ -297,7 +298,7 @@
         if self._parser.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         try:
-            await AnswerWriter(self).error(error)
+            await ResponseWriter(self).error(error)
             await self._close_gracefully()
         except (OSError, h11.LocalProtocolError):
             return
--- a/src/yokedock/connection/datagram_inbox.py
+++ b/src/yokedock/connection/datagram_inbox.py
@@ -16,7 +16,7 @@
 
 _log = logger("inbox")
 
-STOOD_STILL_S = 0.5
+STALL_THRESHOLD_S = 0.5
 """A process that has not polled the socket for this long was suspended or had no CPU time."""
 MAX_READ_S = 0.02
 """Maximum time to read queued datagrams before other work gets its turn."""
@@ -57,7 +57,7 @@
         self.read_pending()
 
     def read_pending(self) -> None:
-        """Read the queued datagrams; must be called more often than every ``STOOD_STILL_S``."""
+        """Read the queued datagrams; must be called more often than every ``STALL_THRESHOLD_S``."""
         until_s = boot_time_s() + MAX_READ_S
         while (datagram := self._next()) is not None:
             self._on_datagram(*datagram, self._earliest_arrival_s())
@@ -83,12 +83,12 @@
     def _earliest_arrival_s(self) -> float:
         """Return the earliest time at which a datagram that is read now may have arrived."""
         now_s = boot_time_s()
-        return now_s if now_s - self._last_empty_s < STOOD_STILL_S else self._last_empty_s
+        return now_s if now_s - self._last_empty_s < STALL_THRESHOLD_S else self._last_empty_s
 
     def _note_empty(self) -> None:
         now_s = boot_time_s()
         stalled_s = now_s - self._last_empty_s
         self._last_empty_s = now_s
-        if stalled_s >= STOOD_STILL_S:
+        if stalled_s >= STALL_THRESHOLD_S:
             _log.warning("stood still", still_ms=round(stalled_s * 1000))
             self._on_stall()
--- a/src/yokedock/connection/dialect.py
+++ b/src/yokedock/connection/dialect.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
+from yokedock.connection.http_heads import Header, RequestHead, ResponseHead
 from yokedock.connection.short_call import ShortCall
 
 
@@ -21,27 +21,27 @@
     tokens: int
 
 
-class GenerationTerms(msgspec.Struct, frozen=True):
+class GenerationParameters(msgspec.Struct, frozen=True):
     """Parameters of a generation request: prompt length, output limit and prompt segments."""
 
     model: str
     prompt_tokens: int
-    most_output_tokens: int
+    max_output_tokens: int
     parts: tuple[PromptPart, ...] = ()
     output_hint: int | None = None
 
 
-class CallTerms(msgspec.Struct, frozen=True):
+class RequestMetadata(msgspec.Struct, frozen=True):
     """Metadata from the head of a request, other than its route."""
 
     request_id: str
     deadline_s: float | None
     """How long the caller will wait, in seconds; None if it does not say."""
     last_event_id: int | None = None
-    generation: GenerationTerms | None = None
+    generation: GenerationParameters | None = None
 
 
-class BackendOrder(msgspec.Struct, frozen=True):
+class ForwardingOrder(msgspec.Struct, frozen=True):
     """What the router adds to a request when it forwards it to a backend."""
 
     instance: str
@@ -63,14 +63,14 @@
     slots: int
 
 
-class AnswerNotes(msgspec.Struct, frozen=True):
+class ResponseMetadata(msgspec.Struct, frozen=True):
     """Metadata from the head of a response."""
 
     request_id: str | None
     is_not_run: bool
     """The backend states that it has not run the request and will not run it."""
     is_signed: bool
-    is_elsewhere: bool = False
+    is_misdirected: bool = False
     """Another backend process has taken over the address: the intended one is gone."""
     load: BackendLoad | None = None
     is_leaving: bool = False
@@ -79,7 +79,7 @@
     """Seconds for which a backend that rejected the request wants no further requests from here."""
     limit_per_s: float | None = None
     """Requests per second that the backend accepts from all routers; None if it sets no limit."""
-    is_limit_odd: bool = False
+    is_limit_invalid: bool = False
     """The limit header is invalid; the previous limit stays in force."""
 
 
@@ -93,7 +93,7 @@
     """Fencing token; never lower than in an earlier order."""
 
 
-class EncodedOrder(msgspec.Struct, frozen=True):
+class EncodedRequest(msgspec.Struct, frozen=True):
     """A role order encoded as a POST request."""
 
     target: bytes
@@ -119,19 +119,19 @@
 class Dialect(abc.ABC):
     """Translates the heads of requests and responses."""
 
-    not_understood = 0
+    invalid_values = 0
     """Number of invalid header values in responses since the process started."""
 
     @abc.abstractmethod
-    def call_terms(self, head: RequestHead) -> CallTerms:
+    def request_metadata(self, head: RequestHead) -> RequestMetadata:
         """Return the metadata of a request; raises ``BadRequest`` for invalid values."""
 
     @abc.abstractmethod
-    def backend_headers(self, head: RequestHead, order: BackendOrder) -> list[Header]:
+    def backend_headers(self, head: RequestHead, order: ForwardingOrder) -> list[Header]:
         """Return the headers of the request as it is forwarded to a backend."""
 
     @abc.abstractmethod
-    def answer_notes(self, head: AnswerHead) -> AnswerNotes:
+    def response_metadata(self, head: ResponseHead) -> ResponseMetadata:
         """Return the metadata of a response."""
 
     @abc.abstractmethod
@@ -139,11 +139,11 @@
         """Parse the response body of a prefill; raises ``EngineRejected`` if it is invalid."""
 
     @abc.abstractmethod
-    def role_order(self, order: RoleOrder) -> EncodedOrder:
+    def role_order(self, order: RoleOrder) -> EncodedRequest:
         """Encode an order to change a role."""
 
     @abc.abstractmethod
-    def cache_list_call(self) -> ShortCall:
+    def cache_list_request(self) -> ShortCall:
         """Return the request that lists the contents of an engine's prefix cache."""
 
     @abc.abstractmethod
--- a/src/yokedock/connection/caller_presence.py
+++ b/src/yokedock/connection/disconnect_detection.py
@@ -17,13 +17,13 @@
 CLOSE_WAIT, LAST_ACK, CLOSING."""
 
 
-def has_left(own_socket: Any) -> bool:
+def has_disconnected(sock: Any) -> bool:
     """Return whether the peer of an accepted connection has closed or reset it.
 
     This is true even while data that the peer sent earlier is still unread.
     """
     try:
-        state: int = own_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
+        state: int = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0]
     except OSError as error:
         # EBADF: closed locally. On any other error, a disconnect is detected by reading.
         return error.errno == errno.EBADF
--- a/src/yokedock/connection/header_dialect.py
+++ b/src/yokedock/connection/header_dialect.py
@@ -6,20 +6,20 @@
 
 from yokedock.base.logs import logger
 from yokedock.connection.dialect import (
-    AnswerNotes,
     BackendLoad,
-    BackendOrder,
     CachedPart,
-    CallTerms,
     Dialect,
-    EncodedOrder,
-    GenerationTerms,
+    EncodedRequest,
+    ForwardingOrder,
+    GenerationParameters,
     PrefillResult,
     PromptPart,
+    RequestMetadata,
+    ResponseMetadata,
     RoleOrder,
 )
-from yokedock.connection.head_numbers import parse_decimal, parse_integer
-from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
+from yokedock.connection.header_numbers import parse_decimal, parse_integer
+from yokedock.connection.http_heads import Header, RequestHead, ResponseHead
 from yokedock.connection.short_call import ShortCall
 from yokedock.errors import BadRequest, EngineRejected
 
@@ -89,19 +89,19 @@
         own = {name.lower().encode() for name in self._names.set_by_router}
         self._dropped = frozenset(own)
 
-    def call_terms(self, head: RequestHead) -> CallTerms:
+    def request_metadata(self, head: RequestHead) -> RequestMetadata:
         """Return the metadata of a request; raises ``BadRequest`` for invalid values."""
         deadline_ms = self._parse_rounded(head, "deadline_ms")
         if deadline_ms is not None and not 0 < deadline_ms <= MAX_DEADLINE_MS:
             raise BadRequest(f"{self._names.deadline_ms} must be between 1 and {MAX_DEADLINE_MS}")
-        return CallTerms(
+        return RequestMetadata(
             request_id=head.get(self._lowercase_names["request_id"]) or "",
             deadline_s=None if deadline_ms is None else deadline_ms / 1000,
             last_event_id=self._parse_rounded(head, "last_event_id"),
             generation=self._parse_generation(head),
         )
 
-    def backend_headers(self, head: RequestHead, order: BackendOrder) -> list[Header]:
+    def backend_headers(self, head: RequestHead, order: ForwardingOrder) -> list[Header]:
         """Return the headers of the request as it is forwarded to a backend."""
         replaced = {self._lowercase_names["deadline_ms"]}
         if order.last_event_id is not None:
@@ -121,21 +121,21 @@
             added.append((names.last_event_id, str(order.last_event_id)))
         return headers + [(name.encode(), value.encode()) for name, value in added]
 
-    def answer_notes(self, head: AnswerHead) -> AnswerNotes:
+    def response_metadata(self, head: ResponseHead) -> ResponseMetadata:
         """Return the metadata of a response."""
-        is_elsewhere = head.status == MISDIRECTED_STATUS
+        is_misdirected = head.status == MISDIRECTED_STATUS
         limit = head.get(self._lowercase_names["limit"])
         limit_per_s = self._parse_decimal("limit", limit)
-        return AnswerNotes(
+        return ResponseMetadata(
             request_id=head.get(self._lowercase_names["request_id"]),
-            is_not_run=is_elsewhere or head.get(self._lowercase_names["not_run"]) is not None,
+            is_not_run=is_misdirected or head.get(self._lowercase_names["not_run"]) is not None,
             is_signed=head.get(self._lowercase_names["signature"]) is not None,
-            is_elsewhere=is_elsewhere,
+            is_misdirected=is_misdirected,
             load=self._parse_load(head.get(self._lowercase_names["load"])),
             is_leaving=head.get(self._lowercase_names["leaving"]) == LEAVING_VALUE,
             rest_s=self._parse_retry_after_s(head) if head.status == OVERLOADED_STATUS else None,
             limit_per_s=limit_per_s,
-            is_limit_odd=limit is not None and limit_per_s is None,
+            is_limit_invalid=limit is not None and limit_per_s is None,
         )
 
     def prefill_result(self, body: bytes) -> PrefillResult:
@@ -152,7 +152,7 @@
             )
         return PrefillResult(handle, tokens)
 
-    def role_order(self, order: RoleOrder) -> EncodedOrder:
+    def role_order(self, order: RoleOrder) -> EncodedRequest:
         """Encode an order to change a role."""
         names = self._names
         fields = {
@@ -165,9 +165,9 @@
             (names.instance.encode(), order.instance.encode()),
             (b"Content-Type", b"application/json"),
         ]
-        return EncodedOrder(names.order_path.encode(), headers, msgspec.json.encode(fields))
+        return EncodedRequest(names.order_path.encode(), headers, msgspec.json.encode(fields))
 
-    def cache_list_call(self) -> ShortCall:
+    def cache_list_request(self) -> ShortCall:
         """Return the request that lists the contents of an engine's prefix cache."""
         return ShortCall(b"GET", self._names.cache_list_path.encode())
 
@@ -186,20 +186,20 @@
         """Return the path on which DELETE releases the KV cache that a prefill retains."""
         return f"{self._names.release_path}{handle}".encode()
 
-    def _parse_generation(self, head: RequestHead) -> GenerationTerms | None:
+    def _parse_generation(self, head: RequestHead) -> GenerationParameters | None:
         tokens = head.get(self._lowercase_names["tokens"])
         if tokens is None:
             return None
         prompt, _, most = tokens.partition(",")
-        prompt_tokens, most_output_tokens = parse_integer(prompt), parse_integer(most)
-        if prompt_tokens is None or most_output_tokens is None:
+        prompt_tokens, max_output_tokens = parse_integer(prompt), parse_integer(most)
+        if prompt_tokens is None or max_output_tokens is None:
             raise BadRequest(
                 f"{self._names.tokens} must be PROMPT_TOKENS,MAX_OUTPUT_TOKENS; send two integers"
             )
         parts = self._parts(head.get(self._lowercase_names["parts"]) or "")
         hint = self._parse_rounded(head, "output_hint")
         model = head.get(self._lowercase_names["model"]) or ""
-        return GenerationTerms(model, prompt_tokens, most_output_tokens, parts, hint)
+        return GenerationParameters(model, prompt_tokens, max_output_tokens, parts, hint)
 
     def _parts(self, text: str) -> tuple[PromptPart, ...]:
         found = []
@@ -236,7 +236,7 @@
             return None
         return BackendLoad(*counts)
 
-    def _parse_retry_after_s(self, head: AnswerHead) -> float | None:
+    def _parse_retry_after_s(self, head: ResponseHead) -> float | None:
         """Return the seconds of ``Retry-After``; None if it is absent or not a number."""
         rest_s = self._parse_decimal("rest", head.get(RETRY_AFTER))
         return None if rest_s is None else min(rest_s, MAX_RETRY_AFTER_S)
@@ -251,5 +251,5 @@
         return number
 
     def _record_invalid_value(self, what: str, text: str) -> None:
-        self.not_understood += 1
+        self.invalid_values += 1
         _log.info("word not understood", what=what, value=text[:MAX_LOGGED_CHARACTERS])
--- a/src/yokedock/connection/http_get.py
+++ b/src/yokedock/connection/http_get.py
@@ -5,17 +5,17 @@
 from yokedock.connection.backend_pool import BackendPool
 from yokedock.connection.short_call import (
     MAX_ANSWER_BYTES,
-    AnswerProgress,
     CallLimits,
     ReadProgress,
     ShortAnswer,
     ShortCall,
+    TransferLimits,
     short_call,
 )
 from yokedock.errors import PlatformUnavailable
 from yokedock.router_errors import BackendResponseError, BackendUnreachable, ResponseTooLarge
 
-DOCUMENT_PROGRESS = AnswerProgress(stall_s=1.5, longest_s=20.0)
+DOCUMENT_TRANSFER_LIMITS = TransferLimits(stall_s=1.5, max_duration_s=20.0)
 """A document of 1 MB takes 2.2 s on an otherwise idle 5 Mbit/s link. The stall limit is longer than
 the second retransmission of a lost packet (0.2 + 0.4 s on Linux) plus its round trips. 20 s is how
 long a source keeps its history: a document that takes longer is out of date when it arrives."""
@@ -39,18 +39,19 @@
         return self._share.value()
 
     async def get(
-        self, target: str, head_timeout_s: float, most_bytes: int = MAX_ANSWER_BYTES
+        self, target: str, head_timeout_s: float, max_bytes: int = MAX_ANSWER_BYTES
     ) -> ShortAnswer:
-        """Return the response, whose body may take up to the limits of ``DOCUMENT_PROGRESS``.
+        """Return the response, whose body may take up to the limits of
+        ``DOCUMENT_TRANSFER_LIMITS``.
 
         Raises ``PlatformUnavailable`` if the head does not arrive in time or the body stalls,
-        ``ResponseTooLarge`` if the body exceeds ``most_bytes``.
+        ``ResponseTooLarge`` if the body exceeds ``max_bytes``.
         """
         limits = CallLimits(
             self._connect_timeout_s,
             head_timeout_s,
-            progress=DOCUMENT_PROGRESS,
-            most_bytes=most_bytes,
+            progress=DOCUMENT_TRANSFER_LIMITS,
+            max_bytes=max_bytes,
         )
         call = ShortCall(b"GET", target.encode())
         self._share = ReadProgress()
--- a/src/yokedock/connection/http_heads.py
+++ b/src/yokedock/connection/http_heads.py
@@ -74,17 +74,17 @@
         return self.target.partition(b"?")[2].decode("latin-1")
 
 
-class AnswerHead(Head, frozen=True):
+class ResponseHead(Head, frozen=True):
     """Head of a response."""
 
     status: int
     reason: bytes = b""
 
 
-def whole_answer(
+def complete_response(
     status: int, body: bytes, headers: list[tuple[str, str]] | None = None
-) -> tuple[AnswerHead, bytes]:
+) -> tuple[ResponseHead, bytes]:
     """Return a response that the router generates itself, with a JSON body."""
     own = [(name.encode(), value.encode()) for name, value in headers or []]
     own.append((b"Content-Type", b"application/json"))
-    return AnswerHead(tuple(own), status), body
+    return ResponseHead(tuple(own), status), body
--- a/src/yokedock/connection/http_server.py
+++ b/src/yokedock/connection/http_server.py
@@ -61,7 +61,7 @@
         self.environ = environ
         self.method: str = environ["REQUEST_METHOD"]
         self.path: str = environ["PATH_INFO"]
-        self.is_answered = False
+        self.has_responded = False
         self._start_response = start_response
 
     def header(self, name: str) -> str | None:
@@ -99,7 +99,7 @@
 
     def start(self, status: int, headers: list[tuple[str, str]]) -> Write:
         """Send status and headers, and return a function that writes chunks of the body."""
-        self.is_answered = True
+        self.has_responded = True
         wsgi_write: Write = self._start_response(status_line(status), headers)
 
         def write(data: bytes) -> None:
@@ -179,7 +179,7 @@
                 ErrorResponse(ErrorBody("internal_error", text, Outcome.UNKNOWN))
             )
             response = HttpResponse(500, body)
-        if response is None or request.is_answered:
+        if response is None or request.has_responded:
             return []
         headers = response.headers
         if response.parts is None:
--- a/src/yokedock/connection/peer_client.py
+++ b/src/yokedock/connection/peer_client.py
@@ -15,7 +15,7 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
-from yokedock.connection.peer_reader import FrameArrived, LinkDown, LinkUp, PeerReader
+from yokedock.connection.peer_reader import FrameReceived, LinkDown, LinkUp, PeerReader
 from yokedock.connection.peer_types import (
     DropAttempt,
     HeartbeatDue,
@@ -104,7 +104,7 @@
 
     def _handle(self, message: Any) -> None:
         match message:
-            case FrameArrived():
+            case FrameReceived():
                 self._frame_arrived(message)
             case SendCall():
                 self._send_call(message)
@@ -212,7 +212,7 @@
         for number in settled:
             del self._pending[number]
 
-    def _frame_arrived(self, arrived: FrameArrived) -> None:
+    def _frame_arrived(self, arrived: FrameReceived) -> None:
         if arrived.reader is not self._reader:
             return
         self._unanswered_since_s = 0.0
--- a/src/yokedock/connection/peer_listener.py
+++ b/src/yokedock/connection/peer_listener.py
@@ -153,7 +153,7 @@
         """Start the listener's thread."""
         self._thread.start()
 
-    def hang_up_all(self) -> None:
+    def disconnect_all(self) -> None:
         """Close every connection, discarding its queued frames."""
         for connection in list(self._connections.values()):
             connection.disconnect()
--- a/src/yokedock/connection/peer_reader.py
+++ b/src/yokedock/connection/peer_reader.py
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class FrameArrived:
+class FrameReceived:
     """The reader received a frame."""
 
     reader: PeerReader
@@ -138,7 +138,7 @@
         if not isinstance(welcome, Welcome):
             return None
         session = SecureSession(self._identity.key, hello, welcome, dialer=True)
-        socket.set_idle_timeout(self._timing.silence_ms)
+        socket.set_idle_timeout(self._timing.receive_timeout_ms)
         socket.on_disconnect(lambda: self._tell(LinkDown(self)))
         self._tell(LinkUp(self, session, welcome.incarnation))
         return session
@@ -149,7 +149,7 @@
             while not self._stopping.is_set():
                 packet = decode_packet(self.socket.receive())
                 if isinstance(packet, Sealed):
-                    self._tell(FrameArrived(self, session.open(packet)))
+                    self._tell(FrameReceived(self, session.open(packet)))
                     self._acknowledge_packets(session)
         except pynng.NNGException:
             pass
--- a/src/yokedock/connection/peer_socket.py
+++ b/src/yokedock/connection/peer_socket.py
@@ -31,12 +31,13 @@
 class PeerSocket:
     """A socket for one connection to one peer. Every method may raise ``pynng.NNGException``."""
 
-    def __init__(self, silence_ms: int) -> None:
-        """``receive`` times out after ``silence_ms`` until ``set_idle_timeout`` changes that."""
+    def __init__(self, receive_timeout_ms: int) -> None:
+        """``receive`` times out after ``receive_timeout_ms`` until ``set_idle_timeout`` changes
+        that."""
         self._socket = pynng.Pair1(
             polyamorous=False,
             send_timeout=SEND_TIMEOUT_MS,
-            recv_timeout=silence_ms,
+            recv_timeout=receive_timeout_ms,
             recv_max_size=RECEIVE_LIMIT_BYTES,
             send_buffer_size=MAX_QUEUED_FRAMES,
             recv_buffer_size=MAX_QUEUED_FRAMES,
@@ -44,9 +45,9 @@
             reconnect_time_max=NO_AUTOMATIC_REDIAL_MS,
         )
 
-    def set_idle_timeout(self, silence_ms: int) -> None:
+    def set_idle_timeout(self, receive_timeout_ms: int) -> None:
         """Set how long ``receive`` waits for a packet, in milliseconds."""
-        self._socket.recv_timeout = silence_ms
+        self._socket.recv_timeout = receive_timeout_ms
 
     def dial(self, url: str) -> None:
         """Connect to ``url``; blocks until connected."""
--- a/src/yokedock/connection/peer_types.py
+++ b/src/yokedock/connection/peer_types.py
@@ -46,7 +46,7 @@
         return max(self.heartbeat_ms, self.idle_heartbeat_ms)
 
     @property
-    def silence_ms(self) -> int:
+    def receive_timeout_ms(self) -> int:
         """Return how long a link may be idle before it counts as lost."""
         return self.max_heartbeat_interval_ms + self.lease_ms
 
--- a/src/yokedock/connection/answer_writer.py
+++ b/src/yokedock/connection/response_writer.py
@@ -7,7 +7,7 @@
 import h11
 import msgspec
 
-from yokedock.connection.http_heads import AnswerHead, whole_answer
+from yokedock.connection.http_heads import ResponseHead, complete_response
 from yokedock.errors import ClientClosedConnection, ErrorResponse, YokedockError
 
 
@@ -23,14 +23,14 @@
     async def drain(self) -> None:
         """Wait until the write buffer is below its high-water mark."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Return whether the caller has disconnected."""
 
     def abort(self) -> None:
         """Close the connection immediately, without flushing."""
 
 
-class AnswerWriter:
+class ResponseWriter:
     """Writes the response to one request."""
 
     def __init__(self, connection: ResponseChannel) -> None:
@@ -44,7 +44,7 @@
         """Return whether the response head was sent."""
         return self.status is not None
 
-    def start(self, head: AnswerHead, length: int | None = None) -> None:
+    def start(self, head: ResponseHead, length: int | None = None) -> None:
         """Send the head; without ``length`` the body uses chunked transfer encoding."""
         self.status = head.status
         headers = head.end_to_end_headers()
@@ -67,7 +67,7 @@
         self._connection.send_event(h11.EndOfMessage())
         await self._connection.drain()
 
-    async def whole(self, head: AnswerHead, body: bytes) -> None:
+    async def whole(self, head: ResponseHead, body: bytes) -> None:
         """Send a complete response with a known length."""
         self.start(head, len(body))
         if body:
@@ -80,11 +80,12 @@
         if error.retry_after_s is not None:
             headers.append(("Retry-After", f"{error.retry_after_s:.2f}"))
         body = msgspec.json.encode(ErrorResponse(error.body()))
-        await self.whole(*whole_answer(error.http_status, body, headers))
+        await self.whole(*complete_response(error.http_status, body, headers))
 
-    def require_caller(self) -> None:
-        """Raise ``ClientClosedConnection`` if the caller has disconnected, even if EOF was not read yet."""
-        if self._connection.has_left():
+    def raise_if_disconnected(self) -> None:
+        """Raise ``ClientClosedConnection`` if the caller has disconnected, even if EOF was not read
+        yet."""
+        if self._connection.has_disconnected():
             raise ClientClosedConnection("the caller has disconnected")
 
     def break_off(self) -> None:
--- a/src/yokedock/connection/router_gossip.py
+++ b/src/yokedock/connection/router_gossip.py
@@ -34,7 +34,7 @@
 """The number of datagrams grows with the square of the fleet; the longer interval saves a quarter
 of the heartbeats. One may be lost before a vote expires (1.0 s), two before a router counts as
 silent (1.5 s)."""
-LEAST_GAP_S = 0.01
+MIN_SEND_INTERVAL_S = 0.01
 """Minimum interval between datagrams; changes within it are sent together."""
 SILENT_S = 1.5
 """A router that has not been heard for this long counts as down."""
@@ -92,7 +92,7 @@
         self._on_state = on_state
         self._on_silent = on_silent
         self._others: dict[str, OtherRouter] = {}
-        self.for_newcomers: Callable[[], tuple[SuspectRequest, ...]] = tuple
+        self.newcomer_suspects: Callable[[], tuple[SuspectRequest, ...]] = tuple
         """Returns the suspects to send to a router that has just started."""
         self._random = new_random()
         self._seeds = seeds
@@ -113,16 +113,16 @@
     async def start(self) -> None:
         """Bind the port and add the seeds."""
         loop = asyncio.get_running_loop()
-        own_socket = self._inbox.bind(self._own_address, self._port)
-        await loop.create_datagram_endpoint(lambda: self, sock=own_socket)
+        sock = self._inbox.bind(self._own_address, self._port)
+        await loop.create_datagram_endpoint(lambda: self, sock=sock)
         for seed in self._seeds:
-            self._know(seed)
+            self._add_router(seed)
 
     async def run(self) -> None:
         """Send at intervals, and detect routers that have become silent."""
         while True:
             self._inbox.read_pending()
-            self._notice_silence()
+            self._detect_silent_routers()
             remaining_s = self._sent_s + self._interval_s() - boot_time_s()
             if remaining_s <= 0.0:
                 self._speak()
@@ -155,10 +155,10 @@
         if self._is_send_scheduled or self._transport is None:
             return
         self._is_send_scheduled = True
-        gap_s = max(0.0, self._sent_s + LEAST_GAP_S - boot_time_s())
+        gap_s = max(0.0, self._sent_s + MIN_SEND_INTERVAL_S - boot_time_s())
         asyncio.get_running_loop().call_later(gap_s, self._speak)
 
-    def tell_last(self) -> None:
+    def send_final_state(self) -> None:
         """Send the final state immediately: this router no longer holds any work."""
         self._speak()
 
@@ -181,7 +181,7 @@
     def _recover_from_stall(self) -> None:
         """Drop routers that may be silent by now, and request the states of the others."""
         now_s = boot_time_s()
-        self._notice_silence()
+        self._detect_silent_routers()
         if now_s - self._resync_requested_s >= RESYNC_MIN_INTERVAL_S:
             self._resync_requested_s = now_s
             self._is_resync_pending = True
@@ -194,7 +194,7 @@
         except msgspec.MsgspecError:
             _log.warning("not understood", address=address)
             return
-        other = self._know(address)
+        other = self._add_router(address)
         if other is None:
             return
         is_new = other.heard_s < told_s - SILENT_S
@@ -208,7 +208,7 @@
         if state.is_asking:
             self._send_to(other)
         for named in state.routers:
-            self._know(named)
+            self._add_router(named)
         if is_new:
             _log.info("router heard", address=other.address, name=state.name)
             self._addresses_sent_s = 0.0
@@ -217,7 +217,7 @@
 
     # --- Sending ---
 
-    def _know(self, address: str) -> OtherRouter | None:
+    def _add_router(self, address: str) -> OtherRouter | None:
         if address == self._own_address:
             return None
         other = self._others.get(address)
@@ -250,7 +250,7 @@
 
     def _send_suspects(self, newcomer: OtherRouter) -> None:
         """Send the suspects to a router that has just started, as others got them earlier."""
-        suspects = self.for_newcomers()
+        suspects = self.newcomer_suspects()
         if not suspects or self._random.random() * len(self.alive()) > NEWCOMER_RESPONDERS:
             return
         self._send_to(newcomer, suspects)
@@ -277,7 +277,7 @@
             other.address for other in (alive[first:] + alive[:first])[:MAX_ADDRESSES_PER_DATAGRAM]
         )
 
-    def _notice_silence(self) -> None:
+    def _detect_silent_routers(self) -> None:
         now_s = boot_time_s()
         for other in list(self._others.values()):
             last_s = max(other.heard_s, other.known_s)
--- a/src/yokedock/connection/routes_file.py
+++ b/src/yokedock/connection/routes_file.py
@@ -131,9 +131,9 @@
         except (OSError, SettingsInvalid) as error:
             raise PlatformUnavailable(f"{self._path}: {error}") from None
 
-    async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
+    async def wait(self, position: SourcePosition, max_duration_s: float) -> StateChanges:
         """Return no changes; raises ``HistoryUnavailable`` if the file was modified."""
-        await asyncio.sleep(min(POLL_S, longest_s))
+        await asyncio.sleep(min(POLL_S, max_duration_s))
         try:
             if self._path.stat().st_mtime_ns != self._mtime_ns:
                 raise HistoryUnavailable(f"{self._path} has changed")
--- a/src/yokedock/connection/service_client.py
+++ b/src/yokedock/connection/service_client.py
@@ -8,7 +8,7 @@
 from yokedock.messages import ServiceAnswer
 
 POOL_SIZE = 64
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 
 
 class ServiceClient:
@@ -30,7 +30,7 @@
         """
         headers = {"Content-Type": content_type}
         if key:
-            headers[KEY_HEADER] = key
+            headers[IDEMPOTENCY_KEY_HEADER] = key
         try:
             response = self._pool.request(
                 "POST",
--- a/src/yokedock/connection/short_call.py
+++ b/src/yokedock/connection/short_call.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from yokedock.base.read_first_timeout import ReadFirstTimeout
-from yokedock.connection.backend_connection import LONGEST_REST_S, BackendConnection
+from yokedock.connection.backend_connection import MAX_IDLE_S, BackendConnection
 from yokedock.connection.backend_pool import BackendPool
-from yokedock.connection.http_heads import AnswerHead, Header, RequestHead
+from yokedock.connection.http_heads import Header, RequestHead, ResponseHead
 from yokedock.router_errors import BackendUnresponsive, ResponseTooLarge
 
 MAX_ANSWER_BYTES = 16_777_216
@@ -36,19 +36,19 @@
 
     status: int
     body: bytes
-    head: AnswerHead
+    head: ResponseHead
     opened_ms: int
     """Wall-clock time at which its connection was opened, in Unix milliseconds."""
     sent_ms: int
     """Wall-clock time at which its request was sent, in Unix milliseconds."""
 
 
-class AnswerProgress(msgspec.Struct, frozen=True):
+class TransferLimits(msgspec.Struct, frozen=True):
     """Time limits for the body of a response that may be large."""
 
     stall_s: float
     """The response is aborted after this many seconds without data."""
-    longest_s: float
+    max_duration_s: float
     """It is aborted this many seconds after the request was sent, even if data arrives."""
 
 
@@ -56,12 +56,12 @@
     """Limits for a request and its response; times in seconds."""
 
     connect_s: float
-    answer_s: float
+    response_s: float
     """From connect to the complete response; only to its head if ``progress`` is set."""
-    longest_rest_s: float = LONGEST_REST_S
+    max_idle_s: float = MAX_IDLE_S
     """An idle connection is not reused after more than this time."""
-    progress: AnswerProgress | None = None
-    most_bytes: int = MAX_ANSWER_BYTES
+    progress: TransferLimits | None = None
+    max_bytes: int = MAX_ANSWER_BYTES
     """A response whose body or Content-Length exceeds this is aborted (``ResponseTooLarge``)."""
 
 
@@ -89,24 +89,24 @@
     ``share`` is updated while the body is received. A connection on which the response was not read
     completely is never reused.
 
-    Raises ``BackendUnreachable`` if nothing was sent, ``BackendResponseError`` if no complete response was
-    received (``BackendUnresponsive`` if it timed out).
+    Raises ``BackendUnreachable`` if nothing was sent, ``BackendResponseError`` if no complete
+    response was received (``BackendUnresponsive`` if it timed out).
     """
     async with _connection(pool, address, limits) as connection:
         sent_s = asyncio.get_running_loop().time()
         try:
-            async with ReadFirstTimeout(limits.answer_s) as time_limit:
+            async with ReadFirstTimeout(limits.response_s) as time_limit:
                 head = RequestHead((), call.method, call.target)
                 await connection.send(head, [(b"Host", address.encode()), *call.headers], call.body)
                 answer = await connection.read_head(lambda _: True)
                 content_length = _content_length(answer)
-                if content_length > limits.most_bytes:
-                    message = f"response body of {content_length} bytes exceeds {limits.most_bytes}"
+                if content_length > limits.max_bytes:
+                    message = f"response body of {content_length} bytes exceeds {limits.max_bytes}"
                     raise ResponseTooLarge(f"{address}: {message}")
                 share = share or ReadProgress()
                 share.content_length = content_length
                 parts = []
-                async for part in connection.body_parts(limits.most_bytes):
+                async for part in connection.body_parts(limits.max_bytes):
                     parts.append(part)
                     share.received_bytes += len(part)
                     _extend_deadline(time_limit, sent_s, limits.progress)
@@ -123,19 +123,19 @@
             raise BackendUnresponsive(f"{address}: {state}: {call.target.decode()}") from None
 
 
-def _content_length(head: AnswerHead) -> int:
+def _content_length(head: ResponseHead) -> int:
     """Return the value of Content-Length, 0 if it is missing or invalid."""
     announced = head.get(b"content-length") or ""
     return int(announced) if announced.isdecimal() else 0
 
 
 def _extend_deadline(
-    time_limit: ReadFirstTimeout, sent_s: float, progress: AnswerProgress | None
+    time_limit: ReadFirstTimeout, sent_s: float, progress: TransferLimits | None
 ) -> None:
     """Extend the deadline of a response after it has made progress."""
     if progress is not None:
         now_s = asyncio.get_running_loop().time()
-        time_limit.reschedule(min(now_s + progress.stall_s, sent_s + progress.longest_s))
+        time_limit.reschedule(min(now_s + progress.stall_s, sent_s + progress.max_duration_s))
 
 
 @contextlib.asynccontextmanager
@@ -143,7 +143,7 @@
     pool: BackendPool, address: str, limits: CallLimits
 ) -> AsyncIterator[BackendConnection]:
     """Take a connection from the pool; return it only if the response was read completely."""
-    connection = await pool.take(address, limits.connect_s, limits.longest_rest_s)
+    connection = await pool.take(address, limits.connect_s, limits.max_idle_s)
     is_whole = False
     try:
         yield connection
--- a/src/yokedock/connection/state_source.py
+++ b/src/yokedock/connection/state_source.py
@@ -61,8 +61,8 @@
         """Return the full state."""
 
     @abc.abstractmethod
-    async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
-        """Return the changes after ``position``, or no changes after ``longest_s``.
+    async def wait(self, position: SourcePosition, max_duration_s: float) -> StateChanges:
+        """Return the changes after ``position``, or no changes after ``max_duration_s``.
 
         Raises ``HistoryUnavailable`` if the source no longer has the changes after ``position``.
         """
--- a/src/yokedock/platform/store.py
+++ b/src/yokedock/platform/store.py
@@ -124,14 +124,15 @@
         backends = {entry.instance: entry for entry in changes.changed}
         return StateSnapshot(position, changes.table, backends, changes.undecoded)
 
-    async def wait(self, position: SourcePosition, longest_s: float) -> StateChanges:
-        """Return the changes after ``position``, or none if there are none within ``longest_s``."""
-        wait_ms = round(longest_s * MS_PER_SECOND)
+    async def wait(self, position: SourcePosition, max_duration_s: float) -> StateChanges:
+        """Return the changes after ``position``, or none if there are none within
+        ``max_duration_s``."""
+        wait_ms = round(max_duration_s * MS_PER_SECOND)
         target = f"{WATCH_PATH}?pathPrefix={ALL_KEYS}&after={position.revision}"
         target += f"&{WAIT_FIELD}={wait_ms}"
-        most_bytes = max(MIN_CHANGES_LIMIT_BYTES, round(MAX_CHANGES_RATIO * self._full_read_bytes))
+        max_bytes = max(MIN_CHANGES_LIMIT_BYTES, round(MAX_CHANGES_RATIO * self._full_read_bytes))
         try:
-            answer = await self._getter.get(target, longest_s + WATCH_SLACK_S, most_bytes)
+            answer = await self._getter.get(target, max_duration_s + WATCH_SLACK_S, max_bytes)
         except ResponseTooLarge as error:
             raise HistoryUnavailable(
                 f"the changes are over the size limit; a full read is smaller: {error}"
--- a/src/yokedock/process/agent.py
+++ b/src/yokedock/process/agent.py
@@ -232,7 +232,7 @@
     def _paused(self, lost_s: float) -> None:
         """The process was paused for longer than a lease: act on nothing it believed."""
         _log.warning("paused", seconds=round(lost_s, 3))
-        self._listener.hang_up_all()
+        self._listener.disconnect_all()
         self._tell_holders(ExpireNow())
 
     def _announce(self) -> None:
@@ -294,7 +294,7 @@
 
     def _total_demand(self) -> DemandSignal:
         """Return the demand of all gateways heard from lately."""
-        horizon = boot_time_s() - peer_timing(self.settings.peers).silence_ms / 1000
+        horizon = boot_time_s() - peer_timing(self.settings.peers).receive_timeout_ms / 1000
         recent = [signal for at_s, signal in list(self._demand.values()) if at_s >= horizon]
         return DemandSignal(
             sum(signal.prefill for signal in recent), sum(signal.decode for signal in recent)
--- a/src/yokedock/process/caller_http.py
+++ b/src/yokedock/process/caller_http.py
@@ -29,7 +29,7 @@
 from yokedock.request.openai_format import (
     REQUEST_ID_HEADER,
     AnswerFormat,
-    BufferedAnswerWriter,
+    BufferedResponseWriter,
     ChatRequest,
     CompletionRequest,
     EventStreamWriter,
@@ -49,7 +49,7 @@
 
 CLASS_HEADER = "X-Request-Class"
 DEADLINE_HEADER = "X-Deadline-Ms"
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 REPLAYED_HEADER = "Idempotent-Replayed"
 DEFAULT_CLASS = "default"
 SERVICES_PATH = "/v1/services/"
@@ -115,7 +115,7 @@
         except YokedockError as error:
             self._metrics.count(f"errors.{error.code}")
             _log.info("refused", request=request_id, code=error.code, error=error.message)
-            if request.is_answered:
+            if request.has_responded:
                 return None
             response = error_response(error)
         if response is not None:
@@ -175,7 +175,7 @@
         order: ModelOrder,
         answer_format: AnswerFormat,
     ) -> HttpResponse:
-        stream = AnswerStream(BufferedAnswerWriter(), order.max_tokens)
+        stream = AnswerStream(BufferedResponseWriter(), order.max_tokens)
         try:
             with self._watchdog.watching(context, request, stream):
                 self._models.serve(context, order, stream)
@@ -239,7 +239,7 @@
             raise NotFound(f"no service {name!r}; look at the bundle for its name")
         body = request.body(bundle.limits.max_service_body_bytes)
         content_type = request.environ.get("CONTENT_TYPE") or "application/octet-stream"
-        order = ServiceOrder(name, request.header(KEY_HEADER) or "", body, content_type)
+        order = ServiceOrder(name, request.header(IDEMPOTENCY_KEY_HEADER) or "", body, content_type)
         context = self._context(request, caller, request_id, arrived_s, bundle)
         with self._admission.admitted(caller, bundle):
             answer = self._services.serve(context, order)
--- a/src/yokedock/process/request_intake.py
+++ b/src/yokedock/process/request_intake.py
@@ -10,9 +10,9 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.base.randomness import new_random
-from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.caller_request import CallerRequest
 from yokedock.connection.dialect import Dialect
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.errors import BadRequest, ClientClosedConnection, NotFound, NotReady, YokedockError
 from yokedock.process.router_metrics import NO_ROUTE, RouterMetrics
 from yokedock.process.state_follower import StateFollower
@@ -82,14 +82,14 @@
         self.active = 0
         """Requests that are being served."""
 
-    async def answer(self, request: CallerRequest, answer: AnswerWriter) -> None:
+    async def answer(self, request: CallerRequest, answer: ResponseWriter) -> None:
         """Route one request and see it through."""
         self.active += 1
         call: RoutedCall | None = None
         outcome = ANSWERED
         try:
             # A busy router reads requests of callers who have left meanwhile.
-            answer.require_caller()
+            answer.raise_if_disconnected()
             if self._stop.is_ending:
                 raise self._ending_error(None)
             await self._follower.wait_known(UNKNOWN_WAIT_S)
@@ -120,7 +120,7 @@
         else:
             await self._opaque.serve(call)
 
-    def _route(self, request: CallerRequest, answer: AnswerWriter) -> RoutedCall:
+    def _route(self, request: CallerRequest, answer: ResponseWriter) -> RoutedCall:
         index = self._follower.index
         if index is None:
             raise NotReady("no routes are known yet; retry later", UNKNOWN_COME_BACK_S)
@@ -130,7 +130,7 @@
         route = index.find(host, request.head.path)
         if route is None:
             raise NotFound(f"no route for {host}{request.head.path}; look at the configuration")
-        terms = self._dialect.call_terms(request.head)
+        terms = self._dialect.request_metadata(request.head)
         return RoutedCall(request, answer, terms, route, self._service(index.table, route))
 
     def _refuse_late_work(self, call: RoutedCall) -> None:
@@ -142,7 +142,7 @@
         if not self._stop.is_stopping or call.terms.generation is None:
             return
         terms, now_s = call.terms.generation, boot_time_s()
-        tokens = terms.most_output_tokens
+        tokens = terms.max_output_tokens
         if now_s - self._stop.since_s < ESTIMATES_TRUSTED_S:
             tokens = terms.output_hint or tokens
         end_s = now_s + STREAM_START_S + tokens * TOKEN_S
@@ -168,7 +168,7 @@
     def _log_end(
         self,
         request: CallerRequest,
-        answer: AnswerWriter,
+        answer: ResponseWriter,
         call: RoutedCall | None,
         outcome: str,
     ) -> None:
--- a/src/yokedock/process/role_balancer.py
+++ b/src/yokedock/process/role_balancer.py
@@ -8,7 +8,7 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.connection.backend_pool import BackendPool
-from yokedock.connection.dialect import Dialect, EncodedOrder, RoleOrder
+from yokedock.connection.dialect import Dialect, EncodedRequest, RoleOrder
 from yokedock.connection.short_call import CallLimits, ShortCall, short_call
 from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
@@ -156,14 +156,14 @@
         if status == FENCED:
             self._paused_until_s = boot_time_s() + FENCED_PAUSE_S
 
-    async def _send(self, backend: Backend, order: EncodedOrder) -> int | None:
+    async def _send(self, backend: Backend, order: EncodedRequest) -> int | None:
         """Send an order once, on a new connection; None when its answer is not known."""
         call = ShortCall(b"POST", order.target, tuple(order.headers), order.body)
-        limits = CallLimits(ORDER_TIMEOUT_S, ORDER_TIMEOUT_S, longest_rest_s=0.0)
+        limits = CallLimits(ORDER_TIMEOUT_S, ORDER_TIMEOUT_S, max_idle_s=0.0)
         try:
             sent_s = boot_time_s()
             answer = await short_call(self._pool, backend.entry.address, call, limits)
-            notes = self._dialect.answer_notes(answer.head)
+            notes = self._dialect.response_metadata(answer.head)
             now_s = boot_time_s()
             backend.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             return answer.status
--- a/src/yokedock/process/router.py
+++ b/src/yokedock/process/router.py
@@ -12,12 +12,12 @@
 from yokedock.base.early_sockets import BACKLOG
 from yokedock.base.logs import logger
 from yokedock.base.ordered_set import OrderedSet
-from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.backend_pool import BackendPool
 from yokedock.connection.caller_connection import CallerConnection
 from yokedock.connection.caller_request import CallerRequest
 from yokedock.connection.dialect import Dialect
-from yokedock.connection.http_heads import whole_answer
+from yokedock.connection.http_heads import complete_response
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.connection.router_gossip import RouterGossip
 from yokedock.connection.source_position import SourcePosition
 from yokedock.connection.state_source import StateSource
@@ -188,7 +188,7 @@
         self._ledger.on_change = self._gossip.change
         self._poison.on_crash_detected = self._gossip.change
         self._registry.limits.on_change = self._gossip.change
-        self._gossip.for_newcomers = self._poison.report_for_new_router
+        self._gossip.newcomer_suspects = self._poison.report_for_new_router
         self._registry.on_change = self._backends_changed
         self._registry.on_restart = self._life_ended
 
@@ -251,12 +251,12 @@
             await asyncio.sleep(STOP_POLL_S)
         self._stop.is_ending = True
         for connection in list(self._connections):
-            connection.cancel_work()
+            connection.cancel_handler()
         await asyncio.sleep(STOP_POLL_S)
         for connection in list(self._connections):
             connection.abort()
         await asyncio.sleep(0)
-        self._gossip.tell_last()
+        self._gossip.send_final_state()
 
     def _start_lasting(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
         """Start work that never ends; an error that nobody expected ends only one round of it."""
@@ -327,11 +327,11 @@
         table = self._table()
         return table.limits if table is not None else CallerLimits()
 
-    async def _answer_ready(self, request: CallerRequest, answer: AnswerWriter) -> None:
+    async def _answer_ready(self, request: CallerRequest, answer: ResponseWriter) -> None:
         status = 200 if self.is_ready else NotReady.http_status
-        await answer.whole(*whole_answer(status, b""))
+        await answer.whole(*complete_response(status, b""))
 
-    async def _answer_router(self, request: CallerRequest, answer: AnswerWriter) -> None:
+    async def _answer_router(self, request: CallerRequest, answer: ResponseWriter) -> None:
         """Give another router what this one knows, or an operator its figures."""
         if request.head.path == STATE_PATH:
             body = self._exchange.answer(request.head.query)
@@ -340,7 +340,7 @@
         else:
             message = f"there is no {request.head.path}; ask for {STATE_PATH} or {METRICS_PATH}"
             raise NotFound(message)
-        await answer.whole(*whole_answer(200, body))
+        await answer.whole(*complete_response(200, body))
 
     def _levels(self) -> dict[str, float]:
         """Return what operators see of this moment."""
@@ -359,7 +359,7 @@
             "state_silent_s": self._follower.silent_s(),
             "state_age_s": self._follower.age_s(),
             "connections_opened": self._pool.opened,
-            "words_not_understood": self._dialect.not_understood,
+            "words_not_understood": self._dialect.invalid_values,
             **self._allowance.levels(),
             **self._ledger.levels(),
             **self._poison.levels(),
--- a/src/yokedock/process/router_upkeep.py
+++ b/src/yokedock/process/router_upkeep.py
@@ -81,12 +81,12 @@
     def _chores(self) -> tuple[Callable[[], None], ...]:
         tables = self._tables
         return (
-            tables.pool.drop_stale,
+            tables.pool.evict_expired,
             self._close_beyond_share,
             tables.registry.drop_expired_backends,
             self._drop_gone_engines,
             tables.ledger.drop_expired,
-            tables.lookup.drop_stale,
+            tables.lookup.evict_expired,
             tables.allowance.drop_old,
             tables.poison.drop_old,
             tables.leadership.drop_old_votes,
@@ -99,9 +99,7 @@
         for backend in registry.lives():
             most = registry.connection_share(backend.entry.service)
             if not math.isinf(most):
-                self._tables.pool.keep_at_most(
-                    backend.entry.address, int(most) - backend.outstanding
-                )
+                self._tables.pool.limit_idle(backend.entry.address, int(most) - backend.outstanding)
 
     def _drop_gone_engines(self) -> None:
         self._tables.ledger.pace.keep_only(self._tables.registry.names())
--- a/src/yokedock/process/state_exchange.py
+++ b/src/yokedock/process/state_exchange.py
@@ -17,10 +17,10 @@
 from yokedock.base.logs import logger
 from yokedock.base.randomness import new_random
 from yokedock.connection.backend_pool import BackendPool
-from yokedock.connection.http_get import DOCUMENT_PROGRESS
+from yokedock.connection.http_get import DOCUMENT_TRANSFER_LIMITS
 from yokedock.connection.router_gossip import OtherRouter
 from yokedock.connection.router_state import RouterState
-from yokedock.connection.short_call import AnswerProgress, CallLimits, ShortCall, short_call
+from yokedock.connection.short_call import CallLimits, ShortCall, TransferLimits, short_call
 from yokedock.connection.source_position import SourcePosition
 from yokedock.connection.state_source import BackendEntry, StateSnapshot
 from yokedock.errors import BadRequest
@@ -158,7 +158,7 @@
             chosen = self._random.choice(fresh or ahead)
             asked.add(chosen.address)
             await self._fetch_from(chosen.address, limit_s)
-            limit_s = min(2 * limit_s, DOCUMENT_PROGRESS.longest_s)
+            limit_s = min(2 * limit_s, DOCUMENT_TRANSFER_LIMITS.max_duration_s)
             # Also after an answer: it may hold less than the other router's datagrams told.
             await asyncio.sleep(RETRY_S)
 
@@ -169,8 +169,8 @@
         limits = CallLimits(
             CONNECT_TIMEOUT_S,
             HEAD_TIMEOUT_S,
-            longest_rest_s=0.0,
-            progress=AnswerProgress(DOCUMENT_PROGRESS.stall_s, limit_s),
+            max_idle_s=0.0,
+            progress=TransferLimits(DOCUMENT_TRANSFER_LIMITS.stall_s, limit_s),
         )
         try:
             answer = await short_call(self._pool, peer, ShortCall(b"GET", target.encode()), limits)
--- a/src/yokedock/request/answer_stream.py
+++ b/src/yokedock/request/answer_stream.py
@@ -14,7 +14,7 @@
 from yokedock.messages import StreamTokens
 
 
-class AnswerWriter(abc.ABC):
+class ResponseWriter(abc.ABC):
     """Writes a response to the caller in the caller's format."""
 
     @abc.abstractmethod
@@ -49,7 +49,7 @@
 class AnswerStream:
     """One caller's response across all its attempts."""
 
-    def __init__(self, writer: AnswerWriter, max_tokens: int) -> None:
+    def __init__(self, writer: ResponseWriter, max_tokens: int) -> None:
         """Initialize an empty response of at most ``max_tokens``, written to ``writer``."""
         self._writer = writer
         self._max_tokens = max_tokens
--- a/src/yokedock/request/backend_exchange.py
+++ b/src/yokedock/request/backend_exchange.py
@@ -10,15 +10,15 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.base.read_first_timeout import ReadFirstTimeout
-from yokedock.connection.backend_connection import LONGEST_REST_S, BackendConnection
+from yokedock.connection.backend_connection import MAX_IDLE_S, BackendConnection
 from yokedock.connection.backend_pool import BackendPool
-from yokedock.connection.dialect import AnswerNotes, BackendOrder, Dialect
-from yokedock.connection.http_heads import AnswerHead
+from yokedock.connection.dialect import Dialect, ForwardingOrder, ResponseMetadata
+from yokedock.connection.http_heads import ResponseHead
 from yokedock.request.backend_incarnation import Backend
 from yokedock.request.connection_shares import ConnectionShares
 from yokedock.request.poison_requests import PoisonRequests
 from yokedock.request.request_digest import digest_text
-from yokedock.request.routed_call import NOT_SENT, BufferedAnswer, RoutedCall
+from yokedock.request.routed_call import NOT_SENT, BufferedResponse, RoutedCall
 from yokedock.router_errors import (
     BackendConnectionClosed,
     BackendNotAccepting,
@@ -65,7 +65,7 @@
         self._poison = poison
         self._sent_s = 0.0
         self._is_prefill = False
-        self._notes: AnswerNotes | None = None
+        self._notes: ResponseMetadata | None = None
         """Metadata from the latest response head."""
 
     @property
@@ -73,11 +73,11 @@
         """Return whether a response can still arrive on the connection."""
         return self._connection.is_open
 
-    async def send(self, order: BackendOrder) -> None:
+    async def send(self, order: ForwardingOrder) -> None:
         """Send the request; raises ``ClientClosedConnection`` instead if the caller has
         disconnected."""
         call = self._call
-        call.answer.require_caller()
+        call.answer.raise_if_disconnected()
         headers = self._dialect.backend_headers(call.request.head, order)
         self._is_prefill = order.is_prefill
         self._sent_s = boot_time_s()
@@ -90,7 +90,7 @@
         A request that must not be repeated waits for its response or its deadline; this keeps other
         requests off connections that have probably failed in the same way.
         """
-        due_s = max_silence_s - (boot_time_s() - self._connection.awaited_since_s())
+        due_s = max_silence_s - (boot_time_s() - self._connection.awaiting_response_since_s())
         if due_s <= 0:
             self.on_silence()
             return
@@ -102,7 +102,7 @@
         if self._silence_timer is not None:
             self._silence_timer.cancel()
 
-    async def read_head(self, timeout_s: float) -> AnswerHead:
+    async def read_head(self, timeout_s: float) -> ResponseHead:
         """Return the head of the response.
 
         Raises ``BackendRefused`` if the backend states that it does not run the request,
@@ -119,7 +119,7 @@
         notes = self._notes
         assert notes is not None
         self.backend.load = notes.load or self.backend.load
-        if notes.is_elsewhere:
+        if notes.is_misdirected:
             self.backend.record_gone(boot_time_s())
         self._poison.record_alive(self.backend.life, self._sent_s)
         if notes.is_not_run:
@@ -132,7 +132,7 @@
             self._check_origin(head, notes)
         return head
 
-    async def read_whole(self, patience_s: float) -> BufferedAnswer:
+    async def read_whole(self, patience_s: float) -> BufferedResponse:
         """Return the head and the complete body; raises as ``read_head``.
 
         ``patience_s`` limits the time without data, before the head and between two parts of the
@@ -153,7 +153,7 @@
                 f"{self.backend.name}: response incomplete at the time limit"
             ) from None
         self.finish(is_failure=head.status >= SERVER_ERROR)
-        return BufferedAnswer(head, b"".join(parts))
+        return BufferedResponse(head, b"".join(parts))
 
     def body_parts(self) -> AsyncIterator[bytes]:
         """Return the parts of the body as they arrive."""
@@ -176,19 +176,19 @@
             since_sent_s = boot_time_s() - self._sent_s
             self._poison.record_crash(self._call.digest, self.backend.life, since_sent_s)
 
-    def _check_origin(self, head: AnswerHead, notes: AnswerNotes) -> None:
+    def _check_origin(self, head: ResponseHead, notes: ResponseMetadata) -> None:
         """Raise unless the response names a request and a successful one carries a signature."""
         if notes.request_id is None:
             raise BackendResponseError(f"{self.backend.name}: response names no request id")
         if head.status < MIN_REDIRECT_STATUS and not notes.is_signed:
             raise BackendResponseError(f"{self.backend.name}: response is not signed")
 
-    def _matches_request(self, head: AnswerHead) -> bool:
+    def _matches_request(self, head: ResponseHead) -> bool:
         """Return whether a response is for this request, not an earlier one on the connection.
 
         Statements of the backend about itself are applied in either case.
         """
-        notes = self._notes = self._dialect.answer_notes(head)
+        notes = self._notes = self._dialect.response_metadata(head)
         is_ours = notes.request_id is None or notes.request_id == self._call.request_id
         opened_ms = self._connection.opened_ms
         sent_s, sent_ms = -math.inf, opened_ms
@@ -241,7 +241,7 @@
             raise BackendNotAccepting(f"all connections to {backend.name} are in use")
         if not has_permit:
             backend.take_permit(boot_time_s())
-        rest_s = LONGEST_REST_S if call.route.may_repeat else MAX_IDLE_NOT_REPEATABLE_S
+        rest_s = MAX_IDLE_S if call.route.may_repeat else MAX_IDLE_NOT_REPEATABLE_S
         timeout_s = min(CONNECT_TIMEOUT_S, call.remaining_s())
         with call.visit(backend.name, backend.entry.zone, backend.entry.role) as visit:
             async with self._exchange(backend, call, timeout_s, rest_s) as exchange:
@@ -307,6 +307,6 @@
         A connection on which data arrived in the second half of the silent period was still working
         during it, and is kept.
         """
-        min_last_receive_s = (connection.awaited_since_s() + boot_time_s()) / 2
+        min_last_receive_s = (connection.awaiting_response_since_s() + boot_time_s()) / 2
         call.min_last_receive_s = max(call.min_last_receive_s, min_last_receive_s)
         self.pool.drop_silent(connection.address, min_last_receive_s)
--- a/src/yokedock/request/backend_incarnation.py
+++ b/src/yokedock/request/backend_incarnation.py
@@ -12,7 +12,7 @@
 
 from yokedock.base.ordered_set import OrderedSet
 from yokedock.connection.backend_connection import BackendConnection
-from yokedock.connection.dialect import AnswerNotes, BackendLoad
+from yokedock.connection.dialect import BackendLoad, ResponseMetadata
 from yokedock.connection.state_source import BackendEntry
 from yokedock.request.backend_limits import BackendLimits
 from yokedock.request.backend_notices import BackendNotices
@@ -152,7 +152,7 @@
 
     def apply_notices(
         self,
-        notes: AnswerNotes,
+        notes: ResponseMetadata,
         now_s: float,
         opened_ms: int = 0,
         sent_s: float = -math.inf,
@@ -167,14 +167,14 @@
         sent_ms = max(sent_ms, opened_ms)
         self.notices.take(notes, self.name, now_s, opened_ms, sent_ms)
         self._update_leaving_since()
-        if not notes.is_elsewhere and not notes.is_limit_odd:
+        if not notes.is_misdirected and not notes.is_limit_invalid:
             self._limit_connection_opened_ms = opened_ms
             self.limit.record_answer(notes.limit_per_s, sent_s, now_s)
-        if self._next_incarnation is not None and not notes.is_elsewhere:
+        if self._next_incarnation is not None and not notes.is_misdirected:
             self._next_incarnation.apply_late_notices(notes, now_s, opened_ms, sent_s, sent_ms)
 
     def apply_late_notices(
-        self, notes: AnswerNotes, now_s: float, opened_ms: int, sent_s: float, sent_ms: int
+        self, notes: ResponseMetadata, now_s: float, opened_ms: int, sent_s: float, sent_ms: int
     ) -> None:
         """Apply the response to a request that was sent under the name of the previous incarnation.
 
--- a/src/yokedock/request/backend_notices.py
+++ b/src/yokedock/request/backend_notices.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from yokedock.base.logs import logger
-from yokedock.connection.dialect import AnswerNotes
+from yokedock.connection.dialect import ResponseMetadata
 
 _log = logger("notices")
 
@@ -45,7 +45,7 @@
     """Time of day at which the connection was opened that last reported a back-off."""
 
     def take(
-        self, notes: AnswerNotes, backend: str, now_s: float, opened_ms: int, sent_ms: int
+        self, notes: ResponseMetadata, backend: str, now_s: float, opened_ms: int, sent_ms: int
     ) -> None:
         """Apply the notices in a response head of ``backend``.
 
--- a/src/yokedock/request/cache_lookup.py
+++ b/src/yokedock/request/cache_lookup.py
@@ -22,7 +22,7 @@
 
 _log = logger("cache")
 
-ANSWER_LIMITS = CallLimits(connect_s=0.05, answer_s=0.06)
+ANSWER_LIMITS = CallLimits(connect_s=0.05, response_s=0.06)
 LISTING_TTL_S = 0.4
 """A listing is shared by all requests within this time: the callers of a router that crashed
 reconnect all at once."""
@@ -78,7 +78,7 @@
         _log.info("prompt sought", request=call.request_id, kept_at=sorted(found))
         return found
 
-    def drop_stale(self) -> None:
+    def evict_expired(self) -> None:
         """Remove listings that have expired."""
         oldest_s = boot_time_s() - LISTING_TTL_S
         for name, (asked_s, listed) in list(self._lists.items()):
@@ -100,11 +100,11 @@
 
     async def _ask(self, engine: Backend) -> dict[str, int]:
         """Return the cached tokens of ``engine`` by part; empty if the query fails."""
-        question = self._dialect.cache_list_call()
+        question = self._dialect.cache_list_request()
         try:
             sent_s = boot_time_s()
             answer = await short_call(self._pool, engine.entry.address, question, ANSWER_LIMITS)
-            notes = self._dialect.answer_notes(answer.head)
+            notes = self._dialect.response_metadata(answer.head)
             now_s = boot_time_s()
             engine.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             if answer.status == OK:
--- a/src/yokedock/request/call_attempt.py
+++ b/src/yokedock/request/call_attempt.py
@@ -9,12 +9,12 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
-from yokedock.connection.dialect import BackendOrder
+from yokedock.connection.dialect import ForwardingOrder
 from yokedock.request.backend_exchange import BackendExchange, BackendExchanges
 from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.retry_allowance import RequestRetries, RetryAllowance
-from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.request.routed_call import BufferedResponse, RoutedCall
 from yokedock.router_errors import BackendNotAccepting, BackendUnreachable, BackendUnresponsive
 
 _log = logger("call")
@@ -62,14 +62,14 @@
         chosen: ChosenBackend,
         attempts: CallAttempts,
         retries: RequestRetries,
-    ) -> BufferedAnswer:
+    ) -> BufferedResponse:
         """Send the call to the chosen backend once and return the complete response."""
         backend = chosen.backend
         async with self._exchanges.open(backend, call, chosen.has_permit) as exchange:
             if call.arrivals:
                 retries.record_arrival()
             call.arrivals += 1
-            order = BackendOrder(backend.entry.instance, call.backend_deadline_ms())
+            order = ForwardingOrder(backend.entry.instance, call.backend_deadline_ms())
             with call.track_run():
                 await exchange.send(order)
                 answer = await self._read(exchange, call, attempts, retries)
@@ -81,7 +81,7 @@
         call: RoutedCall,
         attempts: CallAttempts,
         retries: RequestRetries,
-    ) -> BufferedAnswer:
+    ) -> BufferedResponse:
         """Read the response, and abandon the attempt on a time-out if a retry has been reserved.
 
         If no other backend is available, waits for this one until the deadline. A backend that
--- a/src/yokedock/request/call_queue.py
+++ b/src/yokedock/request/call_queue.py
@@ -67,11 +67,11 @@
         self.refusal = error
         self._woken.set()
 
-    async def sleep(self, longest_s: float | None) -> None:
-        """Wait until woken, for at most ``longest_s`` if given."""
+    async def sleep(self, max_duration_s: float | None) -> None:
+        """Wait until woken, for at most ``max_duration_s`` if given."""
         self._woken.clear()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self._woken.wait(), longest_s)
+            await asyncio.wait_for(self._woken.wait(), max_duration_s)
 
 
 class CallQueue:
--- a/src/yokedock/request/engine_choice.py
+++ b/src/yokedock/request/engine_choice.py
@@ -6,7 +6,7 @@
 
 from yokedock.base.clock import boot_time_s
 from yokedock.base.randomness import new_random
-from yokedock.connection.dialect import GenerationTerms
+from yokedock.connection.dialect import GenerationParameters
 from yokedock.request.backend_incarnation import Backend
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_costs import (
@@ -207,7 +207,7 @@
         is_avoided = backend.name in placement_query.progress.avoid
         return not is_avoided and not self._registry.is_changing(backend.name)
 
-    def _homes(self, service: str, terms: GenerationTerms) -> frozenset[str]:
+    def _homes(self, service: str, terms: GenerationParameters) -> frozenset[str]:
         """Return the home engines of a prompt, one per role, as given by its last part."""
         if not terms.parts or not self._mechanisms.prompt_homes:
             return frozenset()
--- a/src/yokedock/request/engine_costs.py
+++ b/src/yokedock/request/engine_costs.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from yokedock.base.clock import boot_time_s
-from yokedock.connection.dialect import GenerationTerms
+from yokedock.connection.dialect import GenerationParameters
 from yokedock.request.backend_incarnation import Backend
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import Progress
@@ -51,7 +51,7 @@
 class PlacementQuery(msgspec.Struct, frozen=True):
     """The requirements of a placement."""
 
-    terms: GenerationTerms
+    terms: GenerationParameters
     progress: Progress
     traits: EngineTraits
     homes: frozenset[str] = frozenset()
@@ -177,8 +177,8 @@
 
     def would_interfere(self, call: RoutedCall, colocated: Backend) -> bool:
         """Return whether prefill on ``colocated`` would cause too long pauses in its streams."""
-        longest_s = MAX_PAUSE_SHARE * call.route.gap_target_s
-        is_slow = self._ledger.pace.prefilling_pause_s(colocated.name) > longest_s > 0
+        max_duration_s = MAX_PAUSE_SHARE * call.route.gap_target_s
+        is_slow = self._ledger.pace.prefilling_pause_s(colocated.name) > max_duration_s > 0
         return is_slow and self._ledger.streams(colocated.name) > 0
 
     def _prefill_cost_s(self, prefill: Backend, placement_query: PlacementQuery) -> float:
@@ -211,8 +211,8 @@
         return backend.health.failure_rate(boot_time_s())
 
 
-def stream_demand(engine: str, terms: GenerationTerms, made: int) -> StreamDemand:
+def stream_demand(engine: str, terms: GenerationParameters, made: int) -> StreamDemand:
     """Return the memory demand expected of a generation at ``engine``."""
-    expected = terms.output_hint if terms.output_hint is not None else terms.most_output_tokens / 2
-    expected = min(expected, terms.most_output_tokens)
-    return StreamDemand(engine, terms.prompt_tokens, expected, terms.most_output_tokens, made)
+    expected = terms.output_hint if terms.output_hint is not None else terms.max_output_tokens / 2
+    expected = min(expected, terms.max_output_tokens)
+    return StreamDemand(engine, terms.prompt_tokens, expected, terms.max_output_tokens, made)
--- a/src/yokedock/request/generation_dispatch.py
+++ b/src/yokedock/request/generation_dispatch.py
@@ -10,7 +10,7 @@
 from yokedock.base.clock import boot_time_s
 from yokedock.base.logs import logger
 from yokedock.base.ordered_set import OrderedSet
-from yokedock.connection.dialect import BackendOrder
+from yokedock.connection.dialect import ForwardingOrder
 from yokedock.connection.short_call import CallLimits, ShortCall, short_call
 from yokedock.errors import EngineRejected
 from yokedock.request.backend_exchange import SERVER_ERROR, BackendExchange, BackendExchanges
@@ -18,7 +18,7 @@
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.engine_placement import Placement
 from yokedock.request.generation_state import GenerationState, tokens_per_event
-from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.request.routed_call import BufferedResponse, RoutedCall
 from yokedock.request.silence_detector import SilenceDetector
 from yokedock.request.stream_relay import StreamRelay
 from yokedock.router_errors import BackendRefused, BackendResponseError, BackendUnreachable
@@ -71,7 +71,7 @@
                 if state.is_extra_prefill():
                     state.retries.record_arrival()
                 state.prefills += 1
-                order = BackendOrder(
+                order = ForwardingOrder(
                     engine.entry.instance, call.backend_deadline_ms(), is_prefill=True
                 )
                 state.reads.begin(engine.name, tokens)
@@ -124,7 +124,7 @@
                 state.retries.record_arrival()
             state.retries.give_back()
             call.arrivals += 1
-            order = BackendOrder(
+            order = ForwardingOrder(
                 engine.entry.instance,
                 call.backend_deadline_ms(),
                 kv_source=state.valid_source(),
@@ -161,7 +161,9 @@
             head = await stream.within(patience_s, exchange.read_head(call.remaining_s()))
             state.source = None
             if head.status != 200:
-                await self._handle_error_response(call, state, exchange, BufferedAnswer(head, b""))
+                await self._handle_error_response(
+                    call, state, exchange, BufferedResponse(head, b"")
+                )
                 return
             parts = exchange.body_parts()
             while (part := await stream.within(patience_s, anext(parts, None))) is not None:
@@ -204,7 +206,7 @@
         call: RoutedCall,
         state: GenerationState,
         exchange: BackendExchange,
-        answer: BufferedAnswer,
+        answer: BufferedResponse,
     ) -> None:
         """Return the engine's error response to the caller, or retry on another engine."""
         parts = [part async for part in exchange.body_parts()]
--- a/src/yokedock/request/openai_format.py
+++ b/src/yokedock/request/openai_format.py
@@ -10,7 +10,7 @@
 from yokedock.connection.http_server import HttpRequest, Write
 from yokedock.errors import BadRequest, ErrorResponse, YokedockError
 from yokedock.messages import Sampling
-from yokedock.request.answer_stream import AnswerWriter
+from yokedock.request.answer_stream import ResponseWriter
 
 DEFAULT_MAX_TOKENS = 256
 ADAPTER_SEPARATOR = ":"
@@ -222,7 +222,7 @@
         return {"id": self._id, "object": kind, "created": self._created, "model": self._model}
 
 
-class EventStreamWriter(AnswerWriter):
+class EventStreamWriter(ResponseWriter):
     """Streams a response as server-sent events through the WSGI ``write`` callable."""
 
     def __init__(self, request: HttpRequest, answer_format: AnswerFormat, request_id: str) -> None:
@@ -264,7 +264,7 @@
         self._write(data)
 
 
-class BufferedAnswerWriter(AnswerWriter):
+class BufferedResponseWriter(ResponseWriter):
     """Writes nothing: the complete text is read from the ``AnswerStream`` at its end."""
 
     def write_tokens(self, tokens: tuple[str, ...], finish: str) -> None:
--- a/src/yokedock/request/routed_call.py
+++ b/src/yokedock/request/routed_call.py
@@ -8,10 +8,10 @@
 import msgspec
 
 from yokedock.base.clock import boot_time_s
-from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.caller_request import CallerRequest
-from yokedock.connection.dialect import CallTerms
-from yokedock.connection.http_heads import AnswerHead
+from yokedock.connection.dialect import RequestMetadata
+from yokedock.connection.http_heads import ResponseHead
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.errors import YokedockError
 from yokedock.request.request_digest import request_digest
 from yokedock.request.request_outcome import BackendVisit
@@ -32,8 +32,8 @@
     """A caller's request with its route and its progress. Times are seconds of boot time."""
 
     request: CallerRequest
-    answer: AnswerWriter
-    terms: CallTerms
+    answer: ResponseWriter
+    terms: RequestMetadata
     route: Route
     service: ServiceSpec
     runs: int = 0
@@ -146,8 +146,8 @@
         return self.route.may_repeat or not self.may_have_run
 
 
-class BufferedAnswer(msgspec.Struct, frozen=True):
+class BufferedResponse(msgspec.Struct, frozen=True):
     """A complete, buffered response."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
--- a/src/yokedock/request/stream_relay.py
+++ b/src/yokedock/request/stream_relay.py
@@ -5,16 +5,16 @@
 from collections.abc import Callable
 
 from yokedock.base.clock import boot_time_s
-from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.event_stream import EventSplitter, StreamEvent
-from yokedock.connection.http_heads import AnswerHead
+from yokedock.connection.http_heads import ResponseHead
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.router_errors import BackendResponseError
 
 
 class StreamRelay:
     """One caller's stream: the response head, then complete events in order, each exactly once."""
 
-    def __init__(self, answer: AnswerWriter, last_event_id: int | None) -> None:
+    def __init__(self, answer: ResponseWriter, last_event_id: int | None) -> None:
         """Continue after ``last_event_id`` if the caller has already received events."""
         self._answer = answer
         self._first_id = last_event_id
@@ -39,7 +39,7 @@
         self._is_first_of_run = True
         self.pause_s = None
 
-    async def feed(self, head: AnswerHead, data: bytes) -> None:
+    async def feed(self, head: ResponseHead, data: bytes) -> None:
         """Relay complete events; the head is sent with the first one.
 
         Raises ``BackendResponseError`` if an event is missing.
@@ -68,7 +68,7 @@
         self.pause_s = None if is_first_of_run else now_s - self.last_s
         self.last_s = now_s
 
-    async def end(self, head: AnswerHead) -> None:
+    async def end(self, head: ResponseHead) -> None:
         """End the stream; raises ``BackendResponseError`` if its last event is incomplete."""
         if self._splitter.rest.strip():
             raise BackendResponseError("the stream ended in the middle of an event")
--- a/src/yokedock/request/unary_call.py
+++ b/src/yokedock/request/unary_call.py
@@ -26,7 +26,7 @@
 )
 from yokedock.request.call_queue import CallQueue, WaitingCall
 from yokedock.request.retry_allowance import RequestRetries, RetryAllowance
-from yokedock.request.routed_call import BufferedAnswer, RoutedCall
+from yokedock.request.routed_call import BufferedResponse, RoutedCall
 from yokedock.request.service_supply import ServiceSupply
 from yokedock.router_errors import (
     BackendRefused,
@@ -84,13 +84,13 @@
             answer = await self._serve(call, retries)
         await call.answer.whole(answer.head, answer.body)
 
-    async def _serve(self, call: RoutedCall, retries: RequestRetries) -> BufferedAnswer:
+    async def _serve(self, call: RoutedCall, retries: RequestRetries) -> BufferedResponse:
         """Try backends until one responds.
 
         A server error is returned only if no retry is allowed or none gets a response.
         """
         attempts = CallAttempts()
-        kept: BufferedAnswer | None = None
+        kept: BufferedResponse | None = None
         while True:
             try:
                 chosen = attempts.take_reserved()
--- a/src/yokedock_emulator/decision_cost.py
+++ b/src/yokedock_emulator/decision_cost.py
@@ -14,10 +14,10 @@
 import msgspec
 
 from yokedock.base.clock import boot_time_s
-from yokedock.connection.answer_writer import AnswerWriter
 from yokedock.connection.caller_request import CallerRequest
-from yokedock.connection.dialect import CallTerms, GenerationTerms, PromptPart
+from yokedock.connection.dialect import GenerationParameters, PromptPart, RequestMetadata
 from yokedock.connection.http_heads import RequestHead
+from yokedock.connection.response_writer import ResponseWriter
 from yokedock.connection.router_state import EngineShare, QueueShare
 from yokedock.connection.state_source import BackendEntry
 from yokedock.process.tables import format_table
@@ -126,7 +126,7 @@
     def call(self, number: int = 0) -> RoutedCall:
         """Return a generation that arrives now."""
         parts = (PromptPart("shared", 200), PromptPart(f"own-{number}", PROMPT_TOKENS - 200))
-        generation = GenerationTerms("m", PROMPT_TOKENS, OUTPUT_TOKENS, parts)
+        generation = GenerationParameters("m", PROMPT_TOKENS, OUTPUT_TOKENS, parts)
         route = Route(
             "chat",
             "h",
@@ -140,14 +140,14 @@
         return RoutedCall(
             CallerRequest(_HEAD, b"", boot_time_s()),
             _NO_ANSWER,
-            CallTerms(f"r-{number}", 60.0, generation=generation),
+            RequestMetadata(f"r-{number}", 60.0, generation=generation),
             route,
             ServiceSpec(MODEL_SERVICE, engine=TRAITS),
         )
 
 
 _HEAD = RequestHead((), b"POST", b"/")
-_NO_ANSWER = AnswerWriter.__new__(AnswerWriter)
+_NO_ANSWER = ResponseWriter.__new__(ResponseWriter)
 """Nothing is answered here."""
 
 
--- a/src/yokedock_emulator/header_backend.py
+++ b/src/yokedock_emulator/header_backend.py
@@ -16,9 +16,9 @@
     PlainRequest,
     answer_head,
     chunk,
+    complete_response,
     listen,
     read_request,
-    whole_answer,
 )
 
 EVENTS = 4
@@ -67,18 +67,18 @@
         expected = request.headers.get(names.instance.lower(), self.instance)
         head = [(names.request_id, request.headers.get(names.request_id.lower(), ""))]
         if expected != self.instance:
-            writer.write(whole_answer(421, head, b""))
+            writer.write(complete_response(421, head, b""))
             return
         head.append((names.signature, self.instance))
         if request.method in ("GET", "DELETE"):
-            writer.write(whole_answer(200, head, b"{}"))
+            writer.write(complete_response(200, head, b"{}"))
         elif self.role == PREFILL_ROLE:
             result = {names.handle_field: f"h{self.arrivals}", names.tokens_field: 1}
-            writer.write(whole_answer(200, head, msgspec.json.encode(result)))
+            writer.write(complete_response(200, head, msgspec.json.encode(result)))
         elif self.role == DECODE_ROLE:
             self._stream(head, writer)
         else:
-            writer.write(whole_answer(200, head, request.body))
+            writer.write(complete_response(200, head, request.body))
 
     def _stream(self, head: list[tuple[str, str]], writer: asyncio.StreamWriter) -> None:
         writer.write(answer_head(200, [*head, ("Transfer-Encoding", "chunked")]))
--- a/src/yokedock_emulator/plain_http.py
+++ b/src/yokedock_emulator/plain_http.py
@@ -50,7 +50,7 @@
     return ("\r\n".join(lines) + "\r\n\r\n").encode("latin-1")
 
 
-def whole_answer(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
+def complete_response(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
     """Return an answer with its length."""
     return answer_head(status, [*headers, ("Content-Length", str(len(body)))]) + body
 
--- a/src/yokedock_emulator/plain_service.py
+++ b/src/yokedock_emulator/plain_service.py
@@ -14,7 +14,7 @@
 MAX_BODY_BYTES = 1_000_000
 HOLD_BEFORE = "executing"
 HOLD_AFTER = "executed"
-KEY_HEADER = "Idempotency-Key"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
 
 
 class ServiceReceipt(msgspec.Struct, frozen=True):
@@ -55,7 +55,7 @@
             self._arrived += 1
         self._wait_while_held(HOLD_BEFORE)
         time.sleep(self._duration_s)
-        key = request.header(KEY_HEADER) or ""
+        key = request.header(IDEMPOTENCY_KEY_HEADER) or ""
         service = request.path.lstrip("/")
         with self._lock:
             self._executions.append(Execution(service, key, body.decode(errors="replace")))
--- a/src/yokedock_emulator/router_soak/router_soak.py
+++ b/src/yokedock_emulator/router_soak/router_soak.py
@@ -35,7 +35,7 @@
 EMPTY_LIMIT_S = 3.0
 """What is left of the work must be gone by then."""
 TICK_S = 0.05
-STOOD_STILL_S = 0.4
+STALL_THRESHOLD_S = 0.4
 """A tick that comes so late shows that this process itself did not run."""
 
 
@@ -117,7 +117,7 @@
                 before_s = boot_time_s()
                 await asyncio.sleep(TICK_S)
                 now_s = boot_time_s()
-                if now_s - before_s > STOOD_STILL_S:
+                if now_s - before_s > STALL_THRESHOLD_S:
                     self.history.stood_still_s.append((before_s, now_s))
 
 
--- a/src/yokedock_emulator/router_soak/soak_backend.py
+++ b/src/yokedock_emulator/router_soak/soak_backend.py
@@ -17,8 +17,8 @@
     PlainRequest,
     answer_head,
     chunk,
+    complete_response,
     read_request,
-    whole_answer,
 )
 from yokedock_emulator.router_soak.soak_records import (
     POISON_MARK,
@@ -129,7 +129,7 @@
             head.append((NAMES.limit, self._limit))
         is_meant = headers.get(NAMES.instance.lower(), self.instance) == self.instance
         if is_meant and (request.method in OWN_CALLS or request.target == NAMES.order_path):
-            writer.write(whole_answer(200, head, b'{"held":[]}'))
+            writer.write(complete_response(200, head, b'{"held":[]}'))
             return
         is_prefill = headers.get(NAMES.stage.lower()) == NAMES.prefill_stage
         arrival = Arrival(
@@ -150,7 +150,7 @@
             self._history.arrivals.append(arrival)
         if not is_meant:
             arrival.outcome = "misdirected"
-            writer.write(whole_answer(421, [*head, (NAMES.not_run, "1")], b""))
+            writer.write(complete_response(421, [*head, (NAMES.not_run, "1")], b""))
             return
         await self._answer(request, arrival, head, writer)
         await writer.drain()
@@ -170,18 +170,18 @@
             arrival.outcome = "refused"
             arrival.rest_s = self._choices.choice(REST_S)
             asked = [(NAMES.not_run, "1"), ("Retry-After", f"{arrival.rest_s:g}")]
-            writer.write(whole_answer(503, [*head, *asked], b""))
+            writer.write(complete_response(503, [*head, *asked], b""))
         elif is_wrong_stage or (self.mode == "refusals" and self._choices.random() < 0.5):
             arrival.outcome = "refused"
             status = 421 if is_wrong_stage else 503
-            writer.write(whole_answer(status, [*head, (NAMES.not_run, "1")], b""))
+            writer.write(complete_response(status, [*head, (NAMES.not_run, "1")], b""))
         elif self.mode == "errors" and self._choices.random() < 0.7:
             arrival.outcome = "failed"
-            writer.write(whole_answer(500, signed, b"failed"))
+            writer.write(complete_response(500, signed, b"failed"))
         elif arrival.is_prefill:
             await asyncio.sleep(self._choices.uniform(*PREFILL_S))
             result = {NAMES.handle_field: f"h-{arrival.request_id}", NAMES.tokens_field: 100}
-            writer.write(whole_answer(200, head, msgspec.json.encode(result)))
+            writer.write(complete_response(200, head, msgspec.json.encode(result)))
         elif self.role:
             first = int(request.headers.get(NAMES.last_event_id.lower(), "0")) + 1
             await self._stream(request.body, first, signed, writer)
@@ -191,7 +191,7 @@
     async def _whole(self, body: bytes, head: Headers, writer: asyncio.StreamWriter) -> None:
         is_long = self._choices.random() < LONG_SHARE
         pause_s = self._choices.uniform(*(LONG_S if is_long else SHORT_S))
-        answer = whole_answer(200, head, body)
+        answer = complete_response(200, head, body)
         cut = self._choices.randrange(len(answer))
         await asyncio.sleep(pause_s * 0.7)
         writer.write(answer[:cut])
--- a/src/yokedock_emulator/simulation/datagrams.py
+++ b/src/yokedock_emulator/simulation/datagrams.py
@@ -94,10 +94,10 @@
 class SimulatedDatagramTransport(asyncio.DatagramTransport):
     """The asyncio transport of one socket."""
 
-    def __init__(self, own_socket: SimulatedDatagramSocket) -> None:
-        """Send datagrams through ``own_socket``."""
+    def __init__(self, sock: SimulatedDatagramSocket) -> None:
+        """Send datagrams through ``sock``."""
         super().__init__()
-        self._socket = own_socket
+        self._socket = sock
         self._is_closing = False
 
     def sendto(self, data: Any, addr: Any = None) -> None:
--- a/src/yokedock_emulator/simulation/streams.py
+++ b/src/yokedock_emulator/simulation/streams.py
@@ -94,7 +94,7 @@
     def __init__(
         self,
         network: SimulatedNetwork,
-        own_socket: SimulatedStreamSocket,
+        sock: SimulatedStreamSocket,
         own_address: tuple[str, int],
         peer_address: tuple[str, int],
     ) -> None:
@@ -108,8 +108,8 @@
         self.is_silent = False
         """Whether no segment from this end reaches the peer any more."""
         self._network = network
-        self._socket = own_socket
-        own_socket.stream = self
+        self._socket = sock
+        sock.stream = self
         self._protocol: asyncio.BaseProtocol | None = None
         self._context: contextvars.Context | None = None
         self._unread: collections.deque[Segment] = collections.deque()
--- a/src/yokedock_emulator/state_store.py
+++ b/src/yokedock_emulator/state_store.py
@@ -26,7 +26,7 @@
     StoredItem,
     WatchAnswer,
 )
-from yokedock_emulator.plain_http import PlainRequest, listen, read_request, whole_answer
+from yokedock_emulator.plain_http import PlainRequest, complete_response, listen, read_request
 
 MS_PER_SECOND = 1000
 ERA_HEADER = "Store-Era"
@@ -150,7 +150,7 @@
         status, document = await self._handle(request)
         self.calls += 1
         headers = [(ERA_HEADER, str(self._era))] if self.reports_era else []
-        return whole_answer(status, headers, msgspec.json.encode(document))
+        return complete_response(status, headers, msgspec.json.encode(document))
 
     async def _handle(self, request: PlainRequest) -> tuple[int, RangePage | WatchAnswer | None]:
         """Return the status and the document of the answer to a request."""
