--- a/src/yokedock/process/agent.py
+++ b/src/yokedock/process/agent.py
@@ -1,4 +1,4 @@
-"""The agent: the only process that gives orders to the back end beside it."""
+"""The agent: the only process that sends commands to the backend next to it."""
 
 from __future__ import annotations
 
@@ -55,18 +55,18 @@
 
 _log = logger("agent")
 
-LEASE_CHECK_S = 0.1
+LEASE_CHECK_INTERVAL_S = 0.1
 SPARE_WORKERS = 32
-TRANSFER_PATIENCE_S = 2.0
+TRANSFER_GRANT_TIMEOUT_S = 2.0
 DRAIN_LIMIT_S = 120.0
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 
 
 class Agent:
-    """Wires one agent together; ``start`` and ``stop`` are its life."""
+    """Connects the components of an agent and starts and stops them."""
 
     def __init__(self, settings: AgentSettings) -> None:
-        """Bind the addresses; raises ``SettingsInvalid`` when one is taken."""
+        """Bind the addresses; raises ``SettingsInvalid`` if one is already in use."""
         self.settings = settings
         self.name = settings.process.name
         self.incarnation_ms = wall_clock_ms()
@@ -75,14 +75,14 @@
         self._exchange = BundleExchange(self.store)
         self._metrics = Metrics(settings.metrics)
         self._holders: dict[str, pykka.ActorRef[LeaseHolder]] = {}
-        self._holders_lock = threading.Lock()
+        self._lease_actors_lock = threading.Lock()
         self._demand: dict[str, tuple[float, DemandSignal]] = {}
         self._stopping = threading.Event()
         self._is_listed_leaving = False
         self._workers = ThreadPoolExecutor(
             2 * settings.backend.slots + SPARE_WORKERS, "order worker"
         )
-        self._pause = PauseDetector(settings.peers.lease_ms / 1000, self._paused)
+        self._pause = PauseDetector(settings.peers.lease_ms / 1000, self._handle_pause)
         self._listener = PeerListener(
             settings.peers.listen,
             self.name,
@@ -111,7 +111,7 @@
         backend = self.settings.backend
         if backend.kind == "service":
             client = ServiceClient(backend.url, backend.connect_timeout_ms / 1000)
-            check = BundleHomeCheck(self.name, lambda: self._watch.confirmed_s, self._ask_agent)
+            check = BundleHomeCheck(self.name, lambda: self._watch.confirmed_s, self._call_agent)
             record = IdempotencyStore(self.incarnation_ms)
             return ServiceBackend(self.name, client, record, self.store.current, check)
         engine = HttpEngineClient(
@@ -144,14 +144,14 @@
         ]
         return engine_backend
 
-    # --- Life ---
+    # --- Start and stop ---
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start all threads and begin to serve peers."""
         if self.settings.platform.machine_list_url:
             interval_s = self.settings.platform.machine_poll_ms / 1000
             url = self.settings.platform.machine_list_url
-            self._threads.append(MachineWatch(url, interval_s, self._machines_read))
+            self._threads.append(MachineWatch(url, interval_s, self._handle_machine_list))
         self._pause.start()
         self._watch.start()
         for thread in self._threads:
@@ -162,25 +162,25 @@
         _log.info("started", name=self.name, address=self.address, admin=self.admin_address)
 
     def drain(self, limit_s: float = DRAIN_LIMIT_S) -> bool:
-        """Planned stop: take no new work, let all work in flight end; return whether it did."""
+        """Reject new work and wait for work in flight; return whether all of it completed."""
         self._stopping.set()
         self.backend.set_leaving(True)
         self._announce()
         _log.info("draining", name=self.name, in_flight=self.backend.in_flight())
         deadline_s = boot_time_s() + limit_s
         while self.backend.in_flight() and remaining_s(deadline_s):
-            time.sleep(DRAIN_POLL_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
         return self.backend.in_flight() == 0
 
     def stop(self) -> None:
-        """Stop at once: leases at this agent end."""
+        """Stop immediately, which ends all leases at this agent."""
         self._stopping.set()
         for thread in [self._watch, *self._threads]:
             stop: Callable[[], None] = getattr(thread, "stop")  # noqa: B009
             stop()
         self._pause.stop()
         self._listener.close()
-        with self._holders_lock:
+        with self._lease_actors_lock:
             holders = list(self._holders.values())
         for holder in holders:
             holder.stop(block=False)
@@ -190,7 +190,7 @@
         self._admin.close()
 
     def status(self) -> ProcessStatus:
-        """Return what operators see."""
+        """Return the status shown to operators."""
         stamp = self.store.stamp
         load = self.backend.load() if stamp.version else None
         return ProcessStatus(
@@ -210,7 +210,7 @@
 
     def _frame_arrived(self, connection: PeerConnection, frame: Frame) -> None:
         self.check_pause()
-        with self._holders_lock:
+        with self._lease_actors_lock:
             holder = self._holders.get(connection.name)
             if holder is None or not holder.is_alive():
                 holder = LeaseHolder.start(connection.name, self.backend, self, self._workers)
@@ -218,46 +218,46 @@
         holder.tell(Inbound(connection, frame))
 
     def _connection_closed(self, connection: PeerConnection) -> None:
-        """Tell the peer's task, on a thread of the socket library."""
-        with self._holders_lock:
+        """Notify the peer's lease actor; called on a thread of the socket library."""
+        with self._lease_actors_lock:
             holder = self._holders.get(connection.name)
         if holder is not None and holder.is_alive():
             holder.tell(ConnectionClosed(connection))
 
     def _check_leases(self) -> None:
-        """Tell every holder to check its lease, again and again."""
-        while not self._stopping.wait(LEASE_CHECK_S) or self.backend.in_flight():
-            self._tell_holders(LeaseCheck())
+        """Periodically make every lease actor check its lease."""
+        while not self._stopping.wait(LEASE_CHECK_INTERVAL_S) or self.backend.in_flight():
+            self._tell_lease_actors(LeaseCheck())
 
-    def _paused(self, lost_s: float) -> None:
-        """The process was paused for longer than a lease: act on nothing it believed."""
-        _log.warning("paused", seconds=round(lost_s, 3))
+    def _handle_pause(self, paused_s: float) -> None:
+        """Discard all leases and connections, since the process was paused longer than a lease."""
+        _log.warning("paused", seconds=round(paused_s, 3))
         self._listener.hang_up_all()
-        self._tell_holders(ExpireNow())
+        self._tell_lease_actors(ExpireNow())
 
     def _announce(self) -> None:
-        """Tell every gateway at once that the back end's state has changed."""
-        self._tell_holders(ReportNow())
+        """Immediately report the changed state of the backend to every peer."""
+        self._tell_lease_actors(ReportNow())
 
-    def _tell_holders(self, message: ExpireNow | ReportNow | LeaseCheck) -> None:
-        with self._holders_lock:
+    def _tell_lease_actors(self, message: ExpireNow | ReportNow | LeaseCheck) -> None:
+        with self._lease_actors_lock:
             holders = list(self._holders.values())
         for holder in holders:
             if holder.is_alive():
                 holder.tell(message)
 
-    # --- HolderContext and PeerContext ---
+    # --- Callbacks of lease actors and peers ---
 
     def stamp(self) -> BundleStamp:
-        """Return the stamp of the version in force."""
+        """Return the stamp of the active bundle version."""
         return self.store.stamp
 
     def incarnation(self) -> int:
-        """Return this agent's incarnation: its start, ms since 1970."""
+        """Return this agent's incarnation: its start time in ms since the Unix epoch."""
         return self.incarnation_ms
 
     def envelope(self) -> bytes:
-        """Return the signed envelope in force."""
+        """Return the signed envelope of the active bundle."""
         return self.store.signed.envelope
 
     def sections(self, digests: tuple[str, ...]) -> tuple[bytes, ...]:
@@ -265,35 +265,35 @@
         return self.store.sections(digests)
 
     def gateway_offered(self, envelope: bytes, connection: PeerConnection) -> None:
-        """Consider an envelope from a gateway."""
+        """Process a bundle envelope offered by a gateway."""
         self._exchange.gateway_offered(envelope, connection)
 
     def bundle_offered(self, peer: AgentPeerHandle, envelope: bytes) -> None:
-        """Consider an envelope from another agent."""
+        """Process a bundle envelope offered by another agent."""
         self._exchange.peer_offered(peer, envelope)
 
     def sections_arrived(self, contents: tuple[bytes, ...]) -> None:
-        """Take sections that were asked for."""
+        """Process bundle sections that were requested from a peer."""
         self._exchange.sections_arrived(contents)
 
     def check_pause(self) -> None:
-        """Handle a pause before acting."""
+        """Detect and handle a pause of the process before acting on its state."""
         self._pause.check()
 
     def demand_reported(self, peer: str, prefill: float, decode: float) -> None:
-        """Remember a gateway's demand signal for the role ladder."""
+        """Record a gateway's demand signal, from which the engine's role is chosen."""
         self._demand[peer] = (boot_time_s(), DemandSignal(prefill, decode))
 
     def demand(self) -> DemandSignal:
-        """Agents demand nothing of each other."""
+        """Return an empty signal, since agents place no load on each other."""
         return DemandSignal()
 
     def peer_stamp_seen(self, peer: AgentPeerHandle, stamp: BundleStamp) -> None:
-        """Compare versions with another agent."""
+        """Compare the bundle version of another agent with the local one."""
         self._exchange.peer_stamp_seen(peer, stamp)
 
     def _total_demand(self) -> DemandSignal:
-        """Return the demand of all gateways heard from lately."""
+        """Return the total demand of all gateways that reported within the silence timeout."""
         horizon = boot_time_s() - peer_timing(self.settings.peers).silence_ms / 1000
         recent = [signal for at_s, signal in list(self._demand.values()) if at_s >= horizon]
         return DemandSignal(
@@ -302,18 +302,18 @@
 
     # --- Other agents ---
 
-    def _ask_agent(
+    def _call_agent(
         self, name: str, address: str, message: AnyMessage, timeout_s: float
     ) -> AnyMessage:
-        peer = self._connected_peer(name, address, timeout_s)
+        peer = self._wait_for_peer(name, address, timeout_s)
         try:
             reply: AnyMessage = peer.call(message).result(timeout_s)
         except TimeoutError:
-            raise PeerTimeout(f"{name} did not answer; look at its logs") from None
+            raise PeerTimeout(f"agent {name} did not reply in time; check its logs") from None
         return reply
 
-    def _connected_peer(self, name: str, address: str, timeout_s: float) -> AgentPeerHandle:
-        """Return the peer, waiting a moment for a new link to come up."""
+    def _wait_for_peer(self, name: str, address: str, timeout_s: float) -> AgentPeerHandle:
+        """Return the peer; waits up to ``timeout_s`` for its first load report."""
         peer = self._peers.get(PeerAddress(name, "", address))
         deadline_s = boot_time_s() + timeout_s
         while peer.view.load is None and remaining_s(deadline_s):
@@ -321,11 +321,14 @@
         return peer
 
     def _acquire_transfer(self, order: Decode, patience_s: float) -> Callable[[bool], None]:
-        """Wait for the source's credit. An agent that cannot be asked does not stop a transfer."""
-        patience_s = min(patience_s, TRANSFER_PATIENCE_S)
+        """Acquire transfer credit from the source's agent; return the function that releases it.
+
+        If that agent cannot grant the credit, the transfer proceeds without it.
+        """
+        patience_s = min(patience_s, TRANSFER_GRANT_TIMEOUT_S)
         name = order.source_agent
         try:
-            self._ask_agent(
+            self._call_agent(
                 name,
                 name,
                 GrantTransfer(order.attempt, order.handle, order.kv_bytes, int(patience_s * 1000)),
@@ -338,7 +341,7 @@
         done = TransferDone(order.attempt, order.handle, True)
         return lambda imported: peer.notify(done)
 
-    # --- Bundle and platform ---
+    # --- Bundle and machine list ---
 
     def _adopted(self, bundle: Bundle) -> None:
         engine = bundle.engines.get(self.name)
@@ -349,7 +352,7 @@
         self._engine_backend.kv_bytes_per_token = model.kv_bytes_per_token
         self._role_manager.set_bundle(bundle)
 
-    def _machines_read(self, machines: dict[str, Machine]) -> None:
+    def _handle_machine_list(self, machines: dict[str, Machine]) -> None:
         own = machines.get(self.name)
         leaving = own is not None and own.state == STATE_LEAVING
         was_leaving, self._is_listed_leaving = self._is_listed_leaving, leaving
--- a/src/yokedock/process/engine_watch.py
+++ b/src/yokedock/process/engine_watch.py
@@ -1,4 +1,4 @@
-"""The agent's tasks that follow its engine: steps, leftovers, cache events."""
+"""Threads of an agent that read its engine's decode steps and reconcile its state."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 
 _log = logger("engine")
 
-REDIAL_S = 0.1
+RECONNECT_DELAY_S = 0.1
 LOST_AFTER_FAILURES = 2
-RECONCILE_S = 0.5
-CACHE_POLL_S = 0.5
+RECONCILE_INTERVAL_S = 0.5
+CACHE_POLL_INTERVAL_S = 0.5
 
 
 class StepReader(threading.Thread):
-    """Reads the engine's stream of decode steps, again and again."""
+    """Reads the engine's stream of decode steps and reconnects when it ends."""
 
     def __init__(self, engine: EngineDialect, backend: EngineBackend) -> None:
-        """Prepare the thread."""
+        """Create the thread without starting it."""
         super().__init__(name="step reader", daemon=True)
         self._engine = engine
         self._backend = backend
         self._stopping = threading.Event()
 
     def stop(self) -> None:
-        """End the thread after its present connection."""
+        """Stop the thread after its current connection ends or delivers its next step."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Read steps; after repeated failures tell the backend that the engine is lost."""
+        """Read steps; after repeated failures notify the backend that the engine is lost."""
         failures = 0
         while not self._stopping.is_set():
             try:
@@ -45,7 +45,7 @@
                     self._backend.engine_lost()
             if self._backend.is_engine_up:
                 failures = min(failures, 1)
-            self._stopping.wait(REDIAL_S)
+            self._stopping.wait(RECONNECT_DELAY_S)
 
     def _read(self) -> None:
         last_s = 0.0
@@ -65,15 +65,16 @@
 
 
 class Reconciler(threading.Thread):
-    """Compares what the engine holds with what the agent knows, and cancels the rest.
+    """Cancels requests at the engine that the agent does not know.
 
-    Runs before the agent takes its first order, and then goes on: an order of a predecessor may
-    reach an engine that checks no fencing token long after the predecessor's end. Something must
-    be unknown twice in a row, since an answer may cross an order that is on its way.
+    It runs before the agent accepts its first command and then periodically: a command of a
+    predecessor may reach an engine that checks no fencing token long after the predecessor ended.
+    A request is cancelled only if it is unknown in two consecutive checks, since the engine's list
+    of requests and a command in transit may cross.
     """
 
     def __init__(self, engine: EngineDialect, backend: EngineBackend) -> None:
-        """Prepare the thread."""
+        """Create the thread without starting it."""
         super().__init__(name="reconciler", daemon=True)
         self._engine = engine
         self._backend = backend
@@ -82,29 +83,29 @@
         self._stopping = threading.Event()
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Sweep first, then reconcile for as long as the agent runs."""
+        """Cancel all leftover requests, then reconcile periodically until stopped."""
         while not self._stopping.is_set() and not self._sweep():
-            self._stopping.wait(REDIAL_S)
-        while not self._stopping.wait(RECONCILE_S):
+            self._stopping.wait(RECONNECT_DELAY_S)
+        while not self._stopping.wait(RECONCILE_INTERVAL_S):
             try:
                 self._reconcile()
                 self._read_cache_events()
             except YokedockError as error:
-                _log.debug("engine not reconciled", error=error.code)
+                _log.debug("engine reconciliation failed", error=error.code)
 
     def _sweep(self) -> bool:
-        """Cancel everything the engine holds and learn its role; return whether that is done."""
+        """Cancel all requests at the engine and read its role; return whether both succeeded."""
         try:
             for item in self._engine.held().items:
-                _log.info("cancelling a leftover", attempt=item.request, kind=item.kind)
+                _log.info("cancelling leftover request", attempt=item.request, kind=item.kind)
                 self._engine.cancel(item.request)
             self._backend.role = self._engine.load().role
         except YokedockError as error:
-            _log.debug("engine not swept", error=error.code)
+            _log.debug("initial engine cleanup failed", error=error.code)
             return False
         self._backend.is_ready = True
         return True
--- a/src/yokedock/process/gateway.py
+++ b/src/yokedock/process/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: takes callers' requests and sees each through to one final answer."""
+"""The gateway: accepts callers' requests and ends each with exactly one final response."""
 
 from __future__ import annotations
 
@@ -39,20 +39,20 @@
 _log = logger("gateway")
 
 SPARE_THREADS = 32
-"""Threads beyond the requests in flight: refusals are answered while the gateway is full."""
+"""Server threads beyond ``max_in_flight``, so that a full gateway can still send rejections."""
 MAX_BODY_BYTES = 1 << 23
-COMPARE_LIMIT_S = 2.0
-"""A new gateway serves after its peers told their versions, or after this time."""
-READY_CHECK_S = 0.02
-DRAIN_POLL_S = 0.05
+VERSION_CHECK_TIMEOUT_S = 2.0
+"""Longest time that a new gateway waits for its peers' bundle versions before it serves."""
+READY_CHECK_INTERVAL_S = 0.02
+DRAIN_POLL_INTERVAL_S = 0.05
 DEMAND_INTERVAL_S = 1.0
 
 
 class Gateway:
-    """Wires one gateway together; ``start`` and ``stop`` are its life."""
+    """Connects the components of a gateway and starts and stops them."""
 
     def __init__(self, settings: GatewaySettings, policy: PlacementPolicy | None = None) -> None:
-        """Bind the addresses; raises ``SettingsInvalid`` when one is taken."""
+        """Bind the addresses; raises ``SettingsInvalid`` if one is already in use."""
         self.settings = settings
         self.name = settings.process.name
         self.incarnation_ms = wall_clock_ms()
@@ -62,7 +62,7 @@
         self._exchange = BundleExchange(self.store)
         self._machines: dict[str, Machine] = {}
         self._stopping = threading.Event()
-        self._is_compared = False
+        self._is_version_checked = False
         self._admission = Admission(settings.caller.max_in_flight)
         self._watchdog = Watchdog()
         self._demand_meter = DemandMeter()
@@ -108,37 +108,37 @@
         if settings.platform.machine_list_url:
             interval_s = settings.platform.machine_poll_ms / 1000
             url = settings.platform.machine_list_url
-            self._machine_watch = MachineWatch(url, interval_s, self._machines_read)
+            self._machine_watch = MachineWatch(url, interval_s, self._handle_machine_list)
 
-    # --- Life ---
+    # --- Start and stop ---
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start all threads and begin to serve callers."""
         self.store.on_adopt(self._adopted)
         self._watch.start()
         self._watchdog.start()
         if self._machine_watch is not None:
             self._machine_watch.start()
-        threading.Thread(target=self._compare_versions, name="compare", daemon=True).start()
+        threading.Thread(target=self._wait_for_peer_versions, name="compare", daemon=True).start()
         threading.Thread(target=self._measure_demand, name="demand", daemon=True).start()
         self._server.start()
         self._admin.start()
         _log.info("started", name=self.name, address=self.address, admin=self.admin_address)
 
     def drain(self) -> bool:
-        """Planned stop: admit nothing new, let all answers end; return whether they did."""
+        """Reject new requests and wait for those in flight; return whether all completed."""
         self._stopping.set()
         self._admission.close()
         _log.info("draining", name=self.name, in_flight=self._admission.in_flight)
         deadline_s = boot_time_s() + self.settings.caller.drain_limit_s
         while self._admission.in_flight and remaining_s(deadline_s):
-            time.sleep(DRAIN_POLL_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
         while not self._server.is_flushed() and remaining_s(deadline_s):
-            time.sleep(DRAIN_POLL_S)
+            time.sleep(DRAIN_POLL_INTERVAL_S)
         return self._admission.in_flight == 0
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._stopping.set()
         self._watch.stop()
         if self._machine_watch is not None:
@@ -151,11 +151,11 @@
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new requests are served."""
-        return self._is_compared and not self._stopping.is_set()
+        """Return whether the gateway accepts new requests."""
+        return self._is_version_checked and not self._stopping.is_set()
 
     def status(self) -> ProcessStatus:
-        """Return what operators see."""
+        """Return the status shown to operators."""
         return ProcessStatus(
             name=self.name,
             kind="gateway",
@@ -171,26 +171,29 @@
 
     def _ready(self, request: HttpRequest) -> HttpResponse:
         if not self.is_ready:
-            raise NotReady("the gateway is not ready; see /status on its admin address", 1.0)
+            raise NotReady("the gateway is not ready; check /status on its admin address", 1.0)
         return HttpResponse.of("ready")
 
-    def _compare_versions(self) -> None:
-        """Become ready once every peer has told its version, or after a limit."""
-        while not self.store.wait(READY_CHECK_S) and not self._stopping.is_set():
+    def _wait_for_peer_versions(self) -> None:
+        """Become ready once all peers have reported a bundle version no newer than the local one.
+
+        After ``VERSION_CHECK_TIMEOUT_S`` the gateway becomes ready in any case.
+        """
+        while not self.store.wait(READY_CHECK_INTERVAL_S) and not self._stopping.is_set():
             pass
-        limit_s = boot_time_s() + COMPARE_LIMIT_S
+        limit_s = boot_time_s() + VERSION_CHECK_TIMEOUT_S
         while remaining_s(limit_s) and not self._stopping.is_set():
             peers = self.peers.all()
             heard = [p for p in peers if p.view.load is not None]
             newest = max((p.view.stamp.version for p in heard), default=0)
             if peers and len(heard) == len(peers) and newest <= self.store.stamp.version:
                 break
-            time.sleep(READY_CHECK_S)
-        self._is_compared = True
+            time.sleep(READY_CHECK_INTERVAL_S)
+        self._is_version_checked = True
         _log.info("ready", name=self.name, version=self.store.stamp.version)
 
     def _measure_demand(self) -> None:
-        """Turn what requests asked for into a rate: engines' worth of each role."""
+        """Periodically convert the predicted load of requests to a number of engines per role."""
         prefill_s, decode_s = 0.0, 0.0
         while not self._stopping.wait(DEMAND_INTERVAL_S):
             meter = self._demand_meter
@@ -201,41 +204,41 @@
             )
             prefill_s, decode_s = meter.prefill_s, meter.decode_s
 
-    # --- PeerContext ---
+    # --- Callbacks of peers ---
 
     def stamp(self) -> BundleStamp:
-        """Return the stamp of the version in force."""
+        """Return the stamp of the active bundle version."""
         return self.store.stamp
 
     def demand(self) -> DemandSignal:
-        """Return the demand of the last interval."""
+        """Return the demand signal of the last interval."""
         return self._demand_signal
 
     def peer_stamp_seen(self, peer: AgentPeerHandle, stamp: BundleStamp) -> None:
-        """Compare versions with an agent."""
+        """Compare the bundle version of an agent with the local one."""
         self._exchange.peer_stamp_seen(peer, stamp)
 
     def bundle_offered(self, peer: AgentPeerHandle, envelope: bytes) -> None:
-        """Consider an envelope that an agent handed over."""
+        """Process a bundle envelope offered by an agent."""
         self._exchange.peer_offered(peer, envelope)
 
     def sections(self, digests: tuple[str, ...]) -> tuple[bytes, ...]:
         """Return sections by digest."""
         return self.store.sections(digests)
 
-    # --- Bundle and platform ---
+    # --- Bundle and machine list ---
 
     def _adopted(self, bundle: Bundle) -> None:
         self._update_peers(bundle)
         self.peers.heartbeat_now()
 
-    def _machines_read(self, machines: dict[str, Machine]) -> None:
+    def _handle_machine_list(self, machines: dict[str, Machine]) -> None:
         self._machines = machines
         if self.store.stamp.version:
             self._update_peers(self.store.current())
 
     def _update_peers(self, bundle: Bundle) -> None:
-        """Talk to a subset of each model's engines, and to every replica of the services."""
+        """Connect to a subset of each model's engines and to all replicas of the services."""
         size = self.settings.peers.subset_size
         engines = choose_subset(self.name, self.settings.process.zone, bundle.engines, size)
         wanted = [
@@ -250,7 +253,7 @@
         self.peers.want(wanted)
 
     def _address_of(self, name: str, stated: str) -> str:
-        """Return the machine list's address of an agent, else the bundle's."""
+        """Return an agent's address from the machine list, or from the bundle if it has none."""
         machine = self._machines.get(name)
         return machine.agent if machine is not None and machine.agent else stated
 
@@ -264,7 +267,7 @@
 
 
 def make_policy(settings: GatewaySettings) -> PlacementPolicy:
-    """Return the placement policy that the settings name."""
+    """Return the placement policy selected in the settings."""
     placement = settings.placement
     if placement.policy == "least_loaded":
         return LeastLoadedPolicy()
--- a/src/yokedock/process/lease.py
+++ b/src/yokedock/process/lease.py
@@ -1,4 +1,4 @@
-"""One peer's lease at an agent: when it ends, and which attempts hang on it."""
+"""Lease of one peer at an agent: its expiry time and the attempts that depend on it."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Lease(OrderGuard):
-    """When the peer's lease ends and which attempts hang on it; read by worker threads."""
+    """Expiry time and attempts of a peer's lease; worker threads read both."""
 
     def __init__(self, check_pause: Callable[[], None]) -> None:
-        """Start expired: the first heartbeat renews."""
+        """Create an expired lease, which the first heartbeat renews."""
         self.expires_s = 0.0
         self.attempts: set[str] = set()
         self._check_pause = check_pause
@@ -23,7 +23,7 @@
         return boot_time_s() < self.expires_s
 
     def check(self, attempt: str) -> None:
-        """Raise ``LeaseExpired`` when the order may not be given any more."""
+        """Raise ``LeaseExpired`` if a command for the attempt is no longer authorised."""
         self._check_pause()
         if not self.is_valid() or attempt not in self.attempts:
-            raise LeaseExpired("the sender's lease ended or it gave the attempt up; send it again")
+            raise LeaseExpired("the sender's lease has expired or it released the attempt; retry")
--- a/src/yokedock/process/lease_holder.py
+++ b/src/yokedock/process/lease_holder.py
@@ -1,7 +1,7 @@
-"""The agent's task for one peer: its lease, and every attempt that hangs on it.
+"""Actor of an agent for one peer: the peer's lease and all attempts that depend on it.
 
-One heartbeat renews the lease for all of them. A heartbeat also lists what the peer still holds;
-whatever is not listed is released, so a lost release message cannot leave memory held.
+One heartbeat renews the lease for all attempts. It also lists the attempts that the peer still
+owns; any other attempt is released, so that a lost release message cannot leak memory.
 """
 
 from __future__ import annotations
@@ -41,51 +41,51 @@
 _log = logger("lease")
 
 RECONNECT_S = 2.0
-"""How long a lease outlasts the peer's broken connection, if it does not end before.
+"""Maximum time that a lease stays valid after the peer's connection closes.
 
-A process that dies loses its connection at once, so that a lease may be long without leaving the
-work of dead gateways held; only a machine that goes silent keeps what it holds for a whole lease.
+The connection of a process that dies closes at once, so its attempts are released early even if
+leases are long. Only a machine that fails silently keeps its attempts for the full lease.
 """
 
 _OWNING_ORDERS = (Reserve, Prefill, Decode, ServiceCall)
-"""Orders that make the sender the owner of their attempt.
+"""Commands that make the sender the owner of their attempt.
 
-Others name an attempt of somebody else: a decode agent that asks for transfer credit must not end
-the gateway's attempt when its own heartbeat does not list it.
+Other commands refer to an attempt of another peer. A decode agent that requests transfer credit,
+for example, must not end the gateway's attempt because its own heartbeat does not list it.
 """
 
 
 class HolderContext(Protocol):
-    """What a lease holder's task needs from its process."""
+    """Interface of the agent process that a lease actor uses."""
 
     def stamp(self) -> BundleStamp:
-        """Return the stamp of the version in force here."""
+        """Return the stamp of the locally active bundle version."""
 
     def incarnation(self) -> int:
         """Return this agent's incarnation."""
 
     def envelope(self) -> bytes:
-        """Return the signed envelope in force, empty if none."""
+        """Return the signed envelope of the active bundle, empty if there is none."""
 
     def sections(self, digests: tuple[str, ...]) -> tuple[bytes, ...]:
         """Return sections by digest."""
 
     def gateway_offered(self, envelope: bytes, connection: PeerConnection) -> None:
-        """Consider an envelope that a peer handed over."""
+        """Process a bundle envelope offered by a peer."""
 
     def sections_arrived(self, contents: tuple[bytes, ...]) -> None:
-        """Take the sections that a peer sent for the envelope it handed over."""
+        """Process the sections that a peer sent for the envelope it offered."""
 
     def check_pause(self) -> None:
-        """Notice a pause of the process before acting on what it believed."""
+        """Detect and handle a pause of the process before acting on its state."""
 
     def demand_reported(self, peer: str, prefill: float, decode: float) -> None:
-        """Take over a gateway's demand signal."""
+        """Record a gateway's demand signal."""
 
 
 @dataclasses.dataclass(frozen=True)
 class Inbound:
-    """A frame from the peer."""
+    """A frame received from the peer."""
 
     connection: PeerConnection
     frame: Frame
@@ -93,35 +93,35 @@
 
 @dataclasses.dataclass(frozen=True)
 class ConnectionClosed:
-    """A connection of the peer is gone."""
+    """A connection of the peer has closed."""
 
     connection: PeerConnection
 
 
 @dataclasses.dataclass(frozen=True)
 class LeaseCheck:
-    """The process's ticker asks whether the lease has expired."""
+    """Periodic request to check whether the lease has expired."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ReportNow:
-    """The back end's state has changed: tell the peer, which may not ask for a while."""
+    """Request to report the backend's changed state; an idle peer's heartbeat may be far off."""
 
 
 @dataclasses.dataclass(frozen=True)
 class ExpireNow:
-    """The process was paused: the lease counts as expired."""
+    """Request to expire the lease, since the process was paused."""
 
 
 class LeaseHolder(pykka.ThreadingActor):
-    """The task of one peer that gives orders to this agent."""
+    """Handles the frames and the lease of one peer that sends commands to this agent."""
 
     use_daemon_thread = True
 
     def __init__(
         self, name: str, backend: Backend, context: HolderContext, workers: ThreadPoolExecutor
     ) -> None:
-        """Prepare the task for the peer called ``name``."""
+        """Create the actor of the peer called ``name``, with an expired lease."""
         super().__init__()
         self._name = name
         self._backend = backend
@@ -129,10 +129,10 @@
         self._workers = workers
         self._connection: PeerConnection | None = None
         self._lease = Lease(context.check_pause)
-        self._told_change = 0
+        self._last_reported_change = 0
 
     def on_receive(self, message: Any) -> Any:
-        """Handle one message; a failure is logged, since the leases must outlive it."""
+        """Handle one message; an exception is logged, so that it does not end the lease."""
         try:
             return self._handle(message)
         except Exception:
@@ -143,7 +143,7 @@
         self._context.check_pause()
         match message:
             case Inbound():
-                self._inbound(message.connection, message.frame)
+                self._handle_frame(message.connection, message.frame)
             case ConnectionClosed():
                 self._connection_closed(message.connection)
             case LeaseCheck():
@@ -155,10 +155,10 @@
         return None
 
     def on_stop(self) -> None:
-        """Release everything of the peer."""
-        self._expire("agent stops")
+        """Release all attempts of the peer."""
+        self._expire("agent stopping")
 
-    def _inbound(self, connection: PeerConnection, frame: Frame) -> None:
+    def _handle_frame(self, connection: PeerConnection, frame: Frame) -> None:
         if not self._is_current(connection):
             return
         message = frame.message
@@ -180,7 +180,7 @@
                 self._order(connection, frame)
 
     def _is_current(self, connection: PeerConnection) -> bool:
-        """Return whether the connection is the peer's newest; an older one is not listened to."""
+        """Return whether the connection is the peer's newest; frames of older ones are ignored."""
         if self._connection is None or connection is self._connection:
             self._connection = connection
             return True
@@ -188,16 +188,16 @@
         if connection.incarnation < present.incarnation or connection.number < present.number:
             return False
         if connection.incarnation > present.incarnation:
-            self._expire("the peer restarted")
+            self._expire("peer restarted")
         self._connection = connection
-        self._told_change = 0
+        self._last_reported_change = 0
         return True
 
     def _connection_closed(self, connection: PeerConnection) -> None:
-        """Let the lease end soon, unless the peer comes back and renews it."""
+        """Shorten the lease, unless the peer reconnects and renews it."""
         if connection is self._connection:
-            soon_s = boot_time_s() + RECONNECT_S
-            self._lease.expires_s = min(self._lease.expires_s, soon_s)
+            reconnect_deadline_s = boot_time_s() + RECONNECT_S
+            self._lease.expires_s = min(self._lease.expires_s, reconnect_deadline_s)
 
     def _heartbeat(self, heartbeat: Heartbeat) -> None:
         self._lease.expires_s = boot_time_s() + heartbeat.lease_ms / 1000
@@ -208,12 +208,12 @@
         self._report(lost)
 
     def _report(self, lost: tuple[str, ...]) -> None:
-        """Tell the peer this agent's load, version and cache changes, and what it has lost."""
+        """Send the peer the load, bundle version, cache changes and the attempts it has lost."""
         if self._connection is None:
             return
         stamp, load = self._context.stamp(), self._backend.load()
-        changes = self._backend.block_changes(self._told_change)
-        self._told_change = changes.last_number
+        changes = self._backend.block_changes(self._last_reported_change)
+        self._last_reported_change = changes.last_number
         reply = HeartbeatReply(
             stamp,
             self._context.incarnation(),
@@ -229,7 +229,7 @@
         order = frame.message
         try:
             if not self._lease.is_valid():
-                raise LeaseExpired("the sender's lease ended; send a heartbeat and try again")
+                raise LeaseExpired("the sender's lease has expired; send a heartbeat and retry")
             self._check_version(connection, order)
         except YokedockError as error:
             reply_failure(connection, frame.call, error)
@@ -242,18 +242,20 @@
             self._workers.submit(self._run, connection, frame)
 
     def _check_version(self, connection: PeerConnection, order: AnyMessage) -> None:
-        """Refuse an order made under an older bundle, and hand over the newer one."""
+        """Reject a command made under an older bundle, and offer the newer bundle."""
         if not isinstance(order, _OWNING_ORDERS):
             return
         version = self._context.stamp().version
         if order.version < version:
             connection.send(OfferBundle(self._context.envelope()))
-            raise StaleVersion("the order was made under an older bundle; adopt the newer one", 0.2)
+            raise StaleVersion(
+                "the command was made under an older bundle; adopt the newer one", 0.2
+            )
         if version == 0 or (order.version > version and isinstance(order, ServiceCall)):
-            raise NotReady("the agent has not adopted the sender's bundle yet; retry", 0.2)
+            raise NotReady("the agent has not adopted the sender's bundle version yet; retry", 0.2)
 
     def _run(self, connection: PeerConnection, frame: Frame) -> None:
-        """Carry out one order; runs on a worker when the order takes time."""
+        """Execute one command; runs on a worker thread if it has to wait for the backend."""
         try:
             reply = self._backend.run(frame.message, self._lease, self._send_frame)
             if frame.call:
@@ -261,11 +263,13 @@
         except YokedockError as error:
             reply_failure(connection, frame.call, error)
         except Exception as error:
-            _log.exception("order failed", peer=self._name)
-            reply_failure(connection, frame.call, YokedockError(f"the agent failed: {error!r}"))
+            _log.exception("command failed", peer=self._name)
+            reply_failure(
+                connection, frame.call, YokedockError(f"internal error of the agent: {error!r}")
+            )
 
     def _send_frame(self, frame: StepFrame) -> None:
-        """Send tokens over whatever connection the peer has now."""
+        """Send tokens over the peer's current connection, if there is one."""
         connection = self._connection
         if connection is not None:
             connection.send(frame)
@@ -275,7 +279,7 @@
         self._backend.release(attempt)
 
     def _check_lease(self) -> bool:
-        """Expire the lease when it is over; return whether anything still hangs on it."""
+        """Expire the lease if it has ended; return whether any attempt still depends on it."""
         if not self._lease.is_valid():
             self._expire("no heartbeat")
         return bool(self._lease.attempts)
--- a/src/yokedock/process/peer_directory.py
+++ b/src/yokedock/process/peer_directory.py
@@ -1,4 +1,4 @@
-"""The peers of a process: one task for each agent it talks to, kept level with a wanted list."""
+"""The peers of a process: one actor for each agent that it is connected to."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 def peer_timing(settings: PeerSettings) -> PeerTiming:
-    """Return how often the settings want heartbeats sent, and how long a lease lasts."""
+    """Return the heartbeat intervals and the lease duration from the settings."""
     return PeerTiming(settings.heartbeat_ms, settings.lease_ms, settings.idle_heartbeat_ms)
 
 
 @dataclasses.dataclass(frozen=True)
 class PeerAddress:
-    """One agent to talk to."""
+    """Name, zone and network address of one agent."""
 
     name: str
     zone: str
@@ -27,10 +27,10 @@
 
 
 class PeerDirectory:
-    """Starts and stops peer tasks as the wanted list changes."""
+    """Starts and stops the actors of peers to match a list of addresses."""
 
     def __init__(self, identity: PeerIdentity, timing: PeerTiming, context: PeerContext) -> None:
-        """Start with no peer."""
+        """Start without peers."""
         self._identity = identity
         self._timing = timing
         self._context = context
@@ -40,17 +40,17 @@
         self._ticker.start()
 
     def all(self) -> list[AgentPeerHandle]:
-        """Return all present peers."""
+        """Return all current peers."""
         with self._lock:
             return list(self._peers.values())
 
     def find(self, name: str) -> AgentPeerHandle | None:
-        """Return the peer called ``name``, None if there is none."""
+        """Return the peer called ``name``, or None."""
         with self._lock:
             return next((p for a, p in self._peers.items() if a.name == name), None)
 
     def want(self, addresses: list[PeerAddress]) -> None:
-        """Make the present peers exactly ``addresses``."""
+        """Start and stop peers so that exactly ``addresses`` remain."""
         wanted = set(addresses)
         with self._lock:
             gone = [self._peers.pop(known) for known in set(self._peers) - wanted]
@@ -60,19 +60,19 @@
             peer.stop()
 
     def get(self, address: PeerAddress) -> AgentPeerHandle:
-        """Return the peer at an address, starting its task if there is none."""
+        """Return the peer at an address; starts its actor if there is none."""
         with self._lock:
             if address not in self._peers:
                 self._peers[address] = self._start(address)
             return self._peers[address]
 
     def heartbeat_now(self) -> None:
-        """Send a heartbeat to every peer at once."""
+        """Send a heartbeat to every peer immediately."""
         for peer in self.all():
             peer.heartbeat_now()
 
     def stop(self) -> None:
-        """End all tasks."""
+        """Stop all actors."""
         self._ticker.stop()
         self.want([])
 
--- a/src/yokedock/process/role_manager.py
+++ b/src/yokedock/process/role_manager.py
@@ -1,8 +1,9 @@
-"""Which role an engine plays now: fixed by the bundle, or chosen on a ladder of thresholds.
+"""Sets the role of an engine: fixed by the bundle, or chosen from demand for flexible engines.
 
-Without an elected leader, every flexible engine compares the same demand signal with a threshold
-of its own, given by its rank among the flexible engines of its model. Ranks differ, so engines
-change one by one. A dwell time and a hysteresis keep a noisy signal from flapping them.
+There is no elected leader. Each flexible engine compares the same demand signal with its own
+threshold, which follows from its rank among the flexible engines of its model. Since ranks differ,
+engines change their role one at a time. A dwell time and hysteresis prevent oscillation on a noisy
+signal.
 """
 
 from __future__ import annotations
@@ -22,12 +23,12 @@
 _log = logger("role")
 
 CHECK_S = 0.25
-SMOOTHING = 0.1
-"""Weight of a new demand signal in the running mean."""
+SMOOTHING_FACTOR = 0.1
+"""Weight of a new demand signal in the exponential moving average."""
 
 
 class RoleManager(threading.Thread):
-    """The agent's task that keeps its engine in the wanted role."""
+    """Thread of an agent that keeps its engine in the desired role."""
 
     def __init__(
         self,
@@ -37,9 +38,9 @@
         demand: Callable[[], DemandSignal],
         announce: Callable[[], None],
     ) -> None:
-        """Prepare the thread.
+        """Create the thread without starting it.
 
-        ``demand`` returns the sum of all gateways' signals; ``announce`` tells them of a change.
+        ``demand`` returns the sum of all gateways' signals; ``announce`` reports a change to them.
         """
         super().__init__(name="role manager", daemon=True)
         self._name = name
@@ -50,29 +51,29 @@
         self._stopping = threading.Event()
         self._plan: EnginePlan | None = None
         self._position: LadderPosition | None = None
-        self._mean_share: float | None = None
-        self._changed_s = boot_time_s()
-        """A starting agent keeps the role it finds for a dwell time: its demand signal is young."""
+        self._mean_prefill_share: float | None = None
+        self._role_changed_s = boot_time_s()
+        """A new agent keeps its engine's role for a dwell time, as its demand signal is new."""
 
     def set_bundle(self, bundle: Bundle) -> None:
-        """Take over what the bundle says of this engine."""
+        """Apply the bundle's settings of this engine."""
         engine = bundle.engines[self._name]
         self._plan = EnginePlan(engine.role, bundle.limits.role_dwell_s)
         self._position = ladder_position(self._name, bundle)
 
     def stop(self) -> None:
-        """End the thread."""
+        """Stop the thread."""
         self._stopping.set()
 
     def run(self) -> None:
-        """Check the wanted role, again and again."""
+        """Periodically compare the desired role with the current one and change it if needed."""
         while not self._stopping.wait(CHECK_S):
-            wanted = self._wanted()
+            wanted = self._choose_role()
             if self._backend.is_ready and wanted and wanted != self._backend.role:
                 self._change(wanted)
 
-    def _wanted(self) -> str:
-        """Return the role the engine should have; empty before the first bundle."""
+    def _choose_role(self) -> str:
+        """Return the desired role of the engine; empty before the first bundle."""
         plan, position = self._plan, self._position
         if plan is None or position is None:
             return ""
@@ -83,14 +84,14 @@
         total = signal.prefill + signal.decode
         if total > 0:
             share = signal.prefill / total
-            mean = share if self._mean_share is None else self._mean_share
-            self._mean_share = mean + (share - mean) * SMOOTHING
-        if self._mean_share is None or boot_time_s() - self._changed_s < plan.dwell_s:
+            mean = share if self._mean_prefill_share is None else self._mean_prefill_share
+            self._mean_prefill_share = mean + (share - mean) * SMOOTHING_FACTOR
+        if self._mean_prefill_share is None or boot_time_s() - self._role_changed_s < plan.dwell_s:
             return present or ROLE_DECODE
-        return desired_role(position, self._mean_share, present)
+        return desired_role(position, self._mean_prefill_share, present)
 
     def _change(self, role: str) -> None:
-        """Drain, order the change, announce: grants stop before and start after."""
+        """Stop accepting work, drain the engine, change its role, then accept work again."""
         self._backend.is_ready = False
         self._announce()
         try:
@@ -99,9 +100,9 @@
             self._engine.change_role(role)
             _log.info("role changed", engine=self._name, old=self._backend.role, new=role)
             self._backend.role = role
-            self._changed_s = boot_time_s()
+            self._role_changed_s = boot_time_s()
         except YokedockError as error:
-            _log.warning("role not changed", engine=self._name, role=role, error=error.message)
+            _log.warning("role change failed", engine=self._name, role=role, error=error.message)
         finally:
             self._backend.is_ready = True
             self._announce()
