--- a/src/yokedock/process/caller_http.py
+++ b/src/yokedock/process/caller_http.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP interface: each request is one waitress thread, written straight down."""
+"""HTTP interface for callers; each request is served synchronously on one waitress thread."""
 
 from __future__ import annotations
 
@@ -54,13 +54,13 @@
 DEFAULT_CLASS = "default"
 SERVICES_PATH = "/v1/services/"
 MAX_DEADLINE_MS = 3_600_000
-MAX_REQUEST_ID = 128
+MAX_REQUEST_ID_LENGTH = 128
 BODY_OVERHEAD_BYTES = 65_536
-"""A body may be larger than the prompt's limit by this, for the JSON around it."""
+"""Size allowed for a request body beyond the prompt limit, for the surrounding JSON."""
 
 
 class CallerInterface:
-    """Answers callers for a gateway."""
+    """Serves the callers of a gateway."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         histograms: Histograms,
         metrics: Metrics,
     ) -> None:
-        """Wire the interface to the parts that serve requests."""
+        """Use the given components to authenticate, admit and serve requests."""
         self._store = store
         self._admission = admission
         self._models = models
@@ -82,7 +82,7 @@
         self._metrics = metrics
 
     def add_routes(self, router: HttpRouter) -> None:
-        """Add the callers' paths."""
+        """Register the paths for callers."""
         router.add("POST", "/v1/chat/completions", self._chat)
         router.add("POST", "/v1/completions", self._completion)
         router.add("GET", "/v1/models", self._list_models)
@@ -91,10 +91,10 @@
     # --- Model requests ---
 
     def _chat(self, request: HttpRequest) -> HttpResponse | None:
-        return self._guarded(request, self._generate, ChatRequest)
+        return self._serve_with_errors(request, self._generate, ChatRequest)
 
     def _completion(self, request: HttpRequest) -> HttpResponse | None:
-        return self._guarded(request, self._generate, CompletionRequest)
+        return self._serve_with_errors(request, self._generate, CompletionRequest)
 
     def _list_models(self, request: HttpRequest) -> HttpResponse:
         bundle = self._store.current()
@@ -106,8 +106,10 @@
         ]
         return HttpResponse.of(ModelListing(tuple(ModelEntry(name) for name in names)))
 
-    def _guarded(self, request: HttpRequest, serve: Any, kind: Any) -> HttpResponse | None:
-        """Answer with a typed error in every case, with the request's id, and log it."""
+    def _serve_with_errors(
+        self, request: HttpRequest, serve: Any, kind: Any
+    ) -> HttpResponse | None:
+        """Serve a request and add its id; a typed error is logged and becomes the response."""
         arrived_s = boot_time_s()
         request_id = self._request_id(request)
         try:
@@ -151,7 +153,7 @@
         writer: EventStreamWriter,
         wants_usage: bool,
     ) -> None:
-        """Stream an answer; an error after its first part becomes the final event."""
+        """Stream a response; an error after the response has started is sent as its final event."""
         stream = AnswerStream(writer, order.max_tokens)
         try:
             with self._watchdog.watching(context, request, stream):
@@ -163,7 +165,7 @@
         except YokedockError as error:
             if not writer.is_started:
                 raise
-            _log.warning("answer cut", request=context.request_id, code=error.code)
+            _log.warning("response stream failed", request=context.request_id, code=error.code)
             writer.write_error(error)
         finally:
             self._record_times(context, stream)
@@ -189,19 +191,19 @@
         name, adapter = split_adapter(body.model)
         model = bundle.models.get(name)
         if model is None:
-            raise NotFound(f"no model {name!r}; choose one of GET /v1/models")
+            raise NotFound(f"model {name!r} not found; choose one from GET /v1/models")
         if adapter and adapter not in model.adapters:
-            raise NotFound(f"no adapter {adapter!r} of {name}; choose one of GET /v1/models")
+            raise NotFound(f"{name} has no adapter {adapter!r}; choose one from GET /v1/models")
         if body.token_limit() > bundle.limits.max_output_tokens:
             most = bundle.limits.max_output_tokens
-            raise PayloadTooLarge(f"max_tokens is over {most}; ask for at most {most}")
+            raise PayloadTooLarge(f"max_tokens exceeds {most}; request at most {most} tokens")
         assert isinstance(body, ChatRequest | CompletionRequest)
         prompt = body.prompt() if isinstance(body, ChatRequest) else body.prompt
         if not prompt:
-            raise BadRequest("the prompt is empty; send some text")
+            raise BadRequest("the prompt is empty; send a non-empty prompt")
         if len(prompt.encode()) > bundle.limits.max_prompt_bytes:
             raise PayloadTooLarge(
-                f"the prompt is over {bundle.limits.max_prompt_bytes} bytes; send a shorter one"
+                f"the prompt exceeds {bundle.limits.max_prompt_bytes} bytes; send a shorter one"
             )
         return ModelOrder(name, adapter, prompt, body.token_limit(), body.sampling())
 
@@ -224,10 +226,10 @@
     def _record(self, caller: CallerIdentity, measure: Measure, value: float) -> None:
         self._histograms.record(caller.tenant, caller.class_name, measure, value)
 
-    # --- Plain services ---
+    # --- Service requests ---
 
     def _service(self, request: HttpRequest) -> HttpResponse | None:
-        return self._guarded(request, self._call_service, None)
+        return self._serve_with_errors(request, self._call_service, None)
 
     def _call_service(
         self, request: HttpRequest, kind: Any, request_id: str, arrived_s: float
@@ -236,7 +238,7 @@
         caller = self._authenticate(request, bundle)
         name = request.path[len(SERVICES_PATH) :]
         if name not in bundle.services:
-            raise NotFound(f"no service {name!r}; look at the bundle for its name")
+            raise NotFound(f"service {name!r} not found; the bundle lists the services")
         body = request.body(bundle.limits.max_service_body_bytes)
         content_type = request.environ.get("CONTENT_TYPE") or "application/octet-stream"
         order = ServiceOrder(name, request.header(KEY_HEADER) or "", body, content_type)
@@ -246,24 +248,29 @@
         headers = [(REPLAYED_HEADER, "true")] if answer.replayed else []
         return HttpResponse(answer.status, answer.body, answer.content_type, headers)
 
-    # --- Who asks, and how ---
+    # --- Caller identity and request context ---
 
     def _request_id(self, request: HttpRequest) -> str:
-        """Return an id of our own; the caller's, if it sent a sound one, stands before it."""
+        """Return a generated id, prefixed with the caller's id if that is valid."""
         own = uuid.uuid4().hex[:16]
         given = request.header(REQUEST_ID_HEADER) or ""
-        if given and len(given) <= MAX_REQUEST_ID and given.isascii() and given.isprintable():
+        if (
+            given
+            and len(given) <= MAX_REQUEST_ID_LENGTH
+            and given.isascii()
+            and given.isprintable()
+        ):
             return f"{given}-{own}"
         return own
 
     def _authenticate(self, request: HttpRequest, bundle: Bundle) -> CallerIdentity:
         scheme, _, token = (request.header("Authorization") or "").partition(" ")
         if scheme.lower() != "bearer" or not token.strip():
-            raise Unauthorized("no bearer token; send 'Authorization: Bearer TOKEN'")
+            raise Unauthorized("bearer token missing; send 'Authorization: Bearer TOKEN'")
         token_hash = hashlib.sha256(token.strip().encode()).hexdigest()
         tenant = self._store.tenant_by_token_hash.get(token_hash)
         if tenant is None:
-            raise Unauthorized("the bearer token is not known; ask the operator for one")
+            raise Unauthorized("unknown bearer token; ask the operator for a valid one")
         return self._identify(request, bundle, tenant)
 
     def _identify(self, request: HttpRequest, bundle: Bundle, tenant: str) -> CallerIdentity:
@@ -272,9 +279,11 @@
         if name is None:
             name = DEFAULT_CLASS if DEFAULT_CLASS in allowed else allowed[0]
         if name not in bundle.classes:
-            raise BadRequest(f"no class {name!r}; send one of {', '.join(allowed)}")
+            raise BadRequest(f"unknown request class {name!r}; send one of: {', '.join(allowed)}")
         if name not in allowed:
-            raise Forbidden(f"class {name!r} is not this tenant's; send {', '.join(allowed)}")
+            raise Forbidden(
+                f"the tenant may not use class {name!r}; send one of: {', '.join(allowed)}"
+            )
         return CallerIdentity(tenant, name, bundle.classes[name])
 
     def _context(
@@ -289,7 +298,7 @@
         deadline_ms = bundle.limits.default_deadline_ms
         if text is not None:
             if not text.isascii() or not text.isdigit() or not 0 < int(text) <= MAX_DEADLINE_MS:
-                message = f"{DEADLINE_HEADER} must be 1 to {MAX_DEADLINE_MS}; send milliseconds"
+                message = f"{DEADLINE_HEADER} must be from 1 to {MAX_DEADLINE_MS} milliseconds"
                 raise BadRequest(message)
             deadline_ms = int(text)
         return RequestContext(request_id, caller, arrived_s, arrived_s + deadline_ms / 1000)
--- a/src/yokedock/process/settings_commands.py
+++ b/src/yokedock/process/settings_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check settings files."""
+"""Commands that validate settings files."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 import cyclopts
 
 from yokedock.base.options import Problems, read_ini
-from yokedock.process.settings import read_any_settings
+from yokedock.process.settings import read_daemon_settings
 
 app = cyclopts.App(name="settings")
 
 
 @app.command(name="check")
 def check_settings(file: Path) -> None:
-    """Check a settings or routes file and print every error with its remedy."""
+    """Validate a settings or routes file and print every error with its remedy."""
     sections = read_ini(file, Problems()).sections()
     if "table" in sections:
         from yokedock.connection.routes_file import read_routes
@@ -25,5 +25,5 @@
 
         read_router_settings(file)
     else:
-        read_any_settings(file)
+        read_daemon_settings(file)
     print(f"{file}: no errors")
