--- a/src/yokedock/process/__init__.py
+++ b/src/yokedock/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one process."""
+"""Processes of the system: daemons, their settings, HTTP interfaces and the command line."""
--- a/src/yokedock/process/admin_commands.py
+++ b/src/yokedock/process/admin_commands.py
@@ -74,11 +74,11 @@
 
 
 def _query(address: str, path: str, kind: Any) -> Any:
-    """Read one JSON document from a daemon's admin address."""
+    """Fetch and decode one JSON document from a daemon's admin address."""
     url = f"http://{address}{path}"
     try:
         response = urllib3.request("GET", url, timeout=QUERY_TIMEOUT_S, retries=False)
         return msgspec.json.decode(response.data, type=kind)
     except (urllib3.exceptions.HTTPError, msgspec.MsgspecError):
-        message = f"no daemon answers at {address}; name the [admin] listen address of one"
+        message = f"no daemon responds at {address}; give the [admin] listen address of a daemon"
         raise PlatformUnavailable(message) from None
--- a/src/yokedock/process/admin_http.py
+++ b/src/yokedock/process/admin_http.py
@@ -1,4 +1,4 @@
-"""What operators ask a daemon: health, readiness, status, histograms."""
+"""Admin HTTP server of a daemon: health, readiness, status and histograms."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class PeerStatus(msgspec.Struct, frozen=True):
-    """One peer as a process sees it."""
+    """Status of one peer, as known to the process."""
 
     name: str
     connected: bool
@@ -27,7 +27,7 @@
 
 
 class ProcessStatus(msgspec.Struct, frozen=True):
-    """``GET /status``: what a process is and does."""
+    """Response to ``GET /status``: identity and current state of a process."""
 
     name: str
     kind: str
@@ -43,12 +43,12 @@
 
 
 class AdminServer:
-    """Answers operators on an address of its own, so that callers cannot crowd them out."""
+    """Serves operators on a separate address, so that a load of callers cannot block them."""
 
     def __init__(
         self, listen: str, status: Callable[[], ProcessStatus], histograms: Histograms
     ) -> None:
-        """Bind the address; raises ``SettingsInvalid`` if it is taken."""
+        """Bind the address; raises ``SettingsInvalid`` if it is already in use."""
         self._status = status
         self._histograms = histograms
         router = HttpRouter()
@@ -60,14 +60,14 @@
         self.address = self._server.address
 
     def start(self) -> None:
-        """Begin to answer."""
+        """Start to serve."""
         self._server.start()
 
     def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self._server.close()
 
     def _ready(self, request: HttpRequest) -> HttpResponse:
         if not self._status().ready:
-            raise NotReady("the process is not ready: see /status for what it waits for", 1.0)
+            raise NotReady("the process is not ready; check /status for its state", 1.0)
         return HttpResponse.of("ready")
--- a/src/yokedock/process/bundle_commands.py
+++ b/src/yokedock/process/bundle_commands.py
@@ -1,4 +1,4 @@
-"""Commands that check, sign and compare bundles."""
+"""Commands that validate, sign and compare bundles."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @app.command(name="check")
 def check_bundle(source: Path) -> None:
-    """Check a bundle's source and print every error with its remedy."""
+    """Validate a bundle's source and print every error with its remedy."""
     bundle = read_bundle_source(source)
     print(
         f"{source}: no errors; {len(bundle.models)} models, {len(bundle.engines)} engines, "
@@ -39,7 +39,7 @@
 
 @app.command(name="keygen")
 def keygen(file: Path) -> None:
-    """Make a signing key: writes the private key to FILE and prints the public one."""
+    """Generate a signing key: write the private key to FILE and print the public key."""
     key = Ed25519PrivateKey.generate()
     write_private_key(key, file)
     print(public_text(key.public_key()))
@@ -47,10 +47,10 @@
 
 @app.command(name="sign")
 def sign(source: Path, *, version: int, key: Path, out: Path, previous: Path | None = None) -> None:
-    """Sign SOURCE as VERSION into directory OUT.
+    """Sign SOURCE as VERSION and write the signed bundle to directory OUT.
 
-    PREVIOUS is the directory of the version in force: name it when there is one, so that homes
-    that move are known.
+    PREVIOUS is the directory of the active version. Give it if there is one, so that the new
+    bundle records the previous replicas of each service whose replicas change.
     """
     bundle = read_bundle_source(source)
     private_key = read_private_key(key)
@@ -58,7 +58,7 @@
     if previous is not None:
         before = open_signed(read_signed(previous), private_key.public_key())
         if version <= before.version:
-            print(f"the version in force is {before.version}; use a higher one", file=sys.stderr)
+            print(f"the active version is {before.version}; use a higher one", file=sys.stderr)
             sys.exit(EXIT_ERROR)
         bundle = with_previous_pools(bundle, before, now_ms)
     signed = sign_bundle(bundle, version, now_ms, private_key)
@@ -68,14 +68,14 @@
 
 @app.command(name="show")
 def show(directory: Path, *, public_key: str) -> None:
-    """Check a signed bundle and print it as JSON."""
+    """Verify a signed bundle and print it as JSON."""
     bundle = open_signed(read_signed(directory), parse_public_key(public_key))
     print(msgspec.json.format(msgspec.json.encode(bundle)).decode())
 
 
 @app.command(name="diff")
 def diff(old: Path, new: Path, *, public_key: str) -> None:
-    """Print what changed between two signed bundles."""
+    """Print the differences between two signed bundles."""
     key = parse_public_key(public_key)
     before, after = open_signed(read_signed(old), key), open_signed(read_signed(new), key)
     print(f"version {before.version} -> {after.version}")
--- a/src/yokedock/process/bundle_diff.py
+++ b/src/yokedock/process/bundle_diff.py
@@ -1,4 +1,4 @@
-"""What changed between two bundles, entry by entry."""
+"""Computes the differences between two bundles."""
 
 from __future__ import annotations
 
--- a/src/yokedock/process/cli.py
+++ b/src/yokedock/process/cli.py
@@ -1,6 +1,6 @@
-"""The command line of operators and daemons.
+"""Command line for operators and for starting the daemons.
 
-The modules of a command are imported only when it is called, to keep startup short.
+A command imports its modules only when it is called, to keep startup fast.
 """
 
 from __future__ import annotations
@@ -15,10 +15,12 @@
 from yokedock.process.exit import EXIT_BAD_INPUT, EXIT_ERROR, exit_now
 
 app = cyclopts.App(name="yokedock", help="Router for language-model traffic.")
-app.command("yokedock.process.settings_commands:app", name="settings", help="Check settings files.")
+app.command(
+    "yokedock.process.settings_commands:app", name="settings", help="Validate settings files."
+)
 app.command("yokedock.process.log_commands:app", name="logs", help="Read structured logs.")
 app.command(
-    "yokedock.process.bundle_commands:app", name="bundle", help="Check, sign and read bundles."
+    "yokedock.process.bundle_commands:app", name="bundle", help="Validate, sign and show bundles."
 )
 
 SettingsOption = Annotated[Path, cyclopts.Parameter(name="--settings")]
@@ -26,7 +28,7 @@
 
 @app.command
 def gateway(settings: SettingsOption) -> None:
-    """Run a gateway: takes callers' requests."""
+    """Run a gateway, which accepts callers' requests."""
     from yokedock.base.logs import set_up_logs
     from yokedock.process.daemon import run_daemon
     from yokedock.process.gateway import Gateway
@@ -39,7 +41,7 @@
 
 @app.command
 def agent(settings: SettingsOption) -> None:
-    """Run an agent: gives orders to the back end beside it."""
+    """Run an agent, which sends commands to the backend next to it."""
     from yokedock.base.logs import set_up_logs
     from yokedock.process.agent import Agent
     from yokedock.process.daemon import run_daemon
@@ -52,7 +54,7 @@
 
 @app.command
 def router(settings: SettingsOption) -> None:
-    """Run a router on its own routes file: passes requests on by host and path."""
+    """Run a router, which forwards requests by host and path according to its routes file."""
     from yokedock.connection.header_dialect import HeaderDialect
     from yokedock.connection.routes_file import RoutesFile
     from yokedock.process.router_main import run_router
@@ -64,7 +66,7 @@
 
 @app.command
 def demo(*, keep: bool = False) -> None:
-    """Run everything in one process on loopback, send requests, and check what happened."""
+    """Run all components in one process on loopback, send requests and verify the results."""
     from yokedock_emulator.demo import run_demo
 
     exit_now(run_demo(keep))
@@ -72,7 +74,7 @@
 
 @app.command
 def status(*admin: str, json: bool = False) -> None:
-    """Print what one or several daemons are doing. ADMIN: admin addresses, IP:port."""
+    """Print the status of one or more daemons. ADMIN: admin addresses, IP:port."""
     from yokedock.process.admin_commands import print_status
 
     print_status(admin, json)
@@ -80,14 +82,14 @@
 
 @app.command
 def histograms(*admin: str, json: bool = False) -> None:
-    """Print latencies and prefill work by tenant and class, merged over gateways."""
+    """Print latencies and prefill work by tenant and class, merged across gateways."""
     from yokedock.process.admin_commands import print_histograms
 
     print_histograms(admin, json)
 
 
 def run_app(application: cyclopts.App) -> None:
-    """Run a command line; a typed error is printed with its code, and the exit status is 1."""
+    """Run a command line; a typed error is printed with its code and ends it with status 1 or 2."""
     try:
         application()
     except YokedockError as error:
--- a/src/yokedock/process/daemon.py
+++ b/src/yokedock/process/daemon.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until a signal stops it."""
+"""Runs a daemon until it receives a signal to stop."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 
 class Daemon(Protocol):
-    """What a daemon's main function drives."""
+    """Interface of a daemon that ``run_daemon`` runs."""
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
 
     def drain(self) -> bool:
-        """Planned stop: let all work in flight end."""
+        """Reject new work and wait for work in flight; return whether all of it completed."""
 
     def stop(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
 
 
 def run_daemon(daemon: Daemon) -> None:
-    """Serve until SIGTERM or SIGINT, then make a planned stop. A second signal stops at once."""
+    """Serve until SIGTERM or SIGINT, then drain and stop. A second signal ends the draining."""
     signals = threading.Semaphore(0)
     for number in (signal.SIGTERM, signal.SIGINT):
         signal.signal(number, lambda *_: signals.release())
--- a/src/yokedock/process/exit.py
+++ b/src/yokedock/process/exit.py
@@ -1,4 +1,4 @@
-"""Exit statuses and immediate process exit."""
+"""Exit statuses, and exit without the interpreter's shutdown."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 
 EXIT_ERROR = 1
 EXIT_BAD_INPUT = 2
-"""What was named cannot be read."""
+"""The given input cannot be read."""
 EXIT_NOT_FOUND = 1
-"""It was read, and what was asked for is not there."""
+"""The input was read but does not contain the requested item."""
 
 
 def exit_now(status: int) -> NoReturn:
-    """Flush the standard streams and end without the interpreter's own shutdown.
+    """Flush the standard streams and exit without the interpreter's shutdown.
 
-    Its shutdown would wait for workers that wait for a dead back end, and would end the socket
-    library under threads that still receive, which aborts the process.
+    The shutdown would wait for worker threads that are blocked on an unreachable backend. It would
+    also close the socket library while other threads still receive, which aborts the process.
     """
     sys.stdout.flush()
     sys.stderr.flush()
--- a/src/yokedock/process/log_commands.py
+++ b/src/yokedock/process/log_commands.py
@@ -1,4 +1,4 @@
-"""Commands that read the structured logs of routers."""
+"""Commands that analyse the structured logs of routers."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @app.command
 def explain(*files: Path, window_s: float = 2.0) -> None:
-    """Tell where requests lost their time or their answer, from the logs of routers (FILES).
+    """Explain late and failed requests from the logs of routers (FILES).
 
-    Prints a row for each window of WINDOW_S seconds and route, and how well waits were predicted.
+    Prints one row per route and window of WINDOW_S seconds, and the accuracy of predicted waits.
     """
     book = LogBook()
     for file in files:
@@ -27,19 +27,21 @@
     print(window_table(book.explained(), window_s))
     print(prediction_text(book))
     if book.skipped:
-        print(f"{book.skipped} lines are none of a router's and were passed over")
+        print(f"{book.skipped} lines are none of a router's and were skipped")
 
 
 @app.command(name="request")
 def request_story(request: str, *paths: Path) -> None:
-    """Tell which route, router, backends and zones REQUEST took, how long each held it, if late.
+    """Print the route, routers, backends and zones of REQUEST, with times and whether it was late.
 
-    PATHS are routers' log files, or directories with files named *.log. REQUEST is the caller's id.
+    PATHS are log files of routers, or directories with *.log files. REQUEST is the caller's id.
     """
     files = log_files(paths)
     found = stories(request, files)
     for story in found:
         print(story_text(story))
     if not found:
-        print(f"no line names {request} in {len(files)} files; look whether older logs are kept")
+        print(
+            f"no line names {request} in {len(files)} files; check whether older logs are available"
+        )
         sys.exit(EXIT_NOT_FOUND)
--- a/src/yokedock/process/tables.py
+++ b/src/yokedock/process/tables.py
@@ -7,7 +7,7 @@
 
 
 def format_table(header: Sequence[str], rows: Sequence[Sequence[Any]]) -> str:
-    """Return the rows below the header, each column as wide as its widest cell."""
+    """Return a table with a header row, each column as wide as its widest cell."""
     cells = [[str(cell) for cell in row] for row in (header, *rows)]
     widths = [max(len(row[column]) for row in cells) for column in range(len(header))]
     lines = [
