--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -45,13 +45,13 @@
     context.world.wait_for(lambda: backend.arrivals, "it has reached the backend")
 
 
-@when("the machine is suspended for {slept_s:f} s")
+@when("the machine is suspended for {suspended_for_s:f} s")
 def suspend(context, suspended_for_s):
     sleeping_time(context).suspended_for_s += suspended_for_s
     context.told_s = time.monotonic()
 
 
-@when("the backends' open connections fall silent and the machine is suspended for {slept_s:f} s")
+@when("the backends' open connections fall silent and the machine is suspended for {suspended_for_s:f} s")
 def suspend_and_silence(context, suspended_for_s):
     sleeping_time(context)
     for backend in context.world.backends.values():
@@ -60,7 +60,7 @@
     context.world.wait_for(lambda: not context.router._pool.size(), "what rested is dropped")
 
 
-@then("the router tells of {count:d} suspension of {slept_s:f} s")
+@then("the router tells of {count:d} suspension of {suspended_for_s:f} s")
 def suspension_told(context, count, suspended_for_s):
     levels = context.router._wake.levels()
     assert levels["suspensions"] == count and abs(levels["suspended_s"] - suspended_for_s) < 0.1, (
