--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -51,7 +51,10 @@
     context.told_s = time.monotonic()
 
 
-@when("the backends' open connections fall silent and the machine is suspended for {suspended_for_s:f} s")
+@when(
+    "the backends' open connections fall silent and the machine is suspended for "
+    "{suspended_for_s:f} s"
+)
 def suspend_and_silence(context, suspended_for_s):
     sleeping_time(context)
     for backend in context.world.backends.values():
--- a/src/yokedock/process/agent.py
+++ b/src/yokedock/process/agent.py
@@ -32,16 +32,16 @@
 )
 from yokedock.process.admin_http import AdminServer, ProcessStatus
 from yokedock.process.engine_watch import Reconciler, StepReader
-from yokedock.process.lease_holder import (
+from yokedock.process.pause import PauseDetector
+from yokedock.process.peer_directory import PeerAddress, PeerDirectory, peer_timing
+from yokedock.process.peer_lease_actor import (
     ConnectionClosed,
     ExpireNow,
-    Inbound,
+    InboundFrame,
     LeaseCheck,
-    LeaseHolder,
+    PeerLeaseActor,
     ReportNow,
 )
-from yokedock.process.pause import PauseDetector
-from yokedock.process.peer_directory import PeerAddress, PeerDirectory, peer_timing
 from yokedock.process.role_manager import RoleManager
 from yokedock.process.settings import AgentSettings, bundle_key, deployment_key
 from yokedock.request.backend import Backend
@@ -74,7 +74,7 @@
         self.store = BundleStore(bundle_key(settings.platform))
         self._exchange = BundleExchange(self.store)
         self._metrics = Metrics(settings.metrics)
-        self._holders: dict[str, pykka.ActorRef[LeaseHolder]] = {}
+        self._lease_actors: dict[str, pykka.ActorRef[PeerLeaseActor]] = {}
         self._lease_actors_lock = threading.Lock()
         self._demand: dict[str, tuple[float, DemandSignal]] = {}
         self._stopping = threading.Event()
@@ -181,7 +181,7 @@
         self._pause.stop()
         self._listener.close()
         with self._lease_actors_lock:
-            holders = list(self._holders.values())
+            holders = list(self._lease_actors.values())
         for holder in holders:
             holder.stop(block=False)
         self._peers.stop()
@@ -211,16 +211,16 @@
     def _frame_arrived(self, connection: PeerConnection, frame: Frame) -> None:
         self.check_pause()
         with self._lease_actors_lock:
-            holder = self._holders.get(connection.name)
+            holder = self._lease_actors.get(connection.name)
             if holder is None or not holder.is_alive():
-                holder = LeaseHolder.start(connection.name, self.backend, self, self._workers)
-                self._holders[connection.name] = holder
-        holder.tell(Inbound(connection, frame))
+                holder = PeerLeaseActor.start(connection.name, self.backend, self, self._workers)
+                self._lease_actors[connection.name] = holder
+        holder.tell(InboundFrame(connection, frame))
 
     def _connection_closed(self, connection: PeerConnection) -> None:
         """Notify the peer's lease actor; called on a thread of the socket library."""
         with self._lease_actors_lock:
-            holder = self._holders.get(connection.name)
+            holder = self._lease_actors.get(connection.name)
         if holder is not None and holder.is_alive():
             holder.tell(ConnectionClosed(connection))
 
@@ -241,7 +241,7 @@
 
     def _tell_lease_actors(self, message: ExpireNow | ReportNow | LeaseCheck) -> None:
         with self._lease_actors_lock:
-            holders = list(self._holders.values())
+            holders = list(self._lease_actors.values())
         for holder in holders:
             if holder.is_alive():
                 holder.tell(message)
--- a/src/yokedock/process/bundle_commands.py
+++ b/src/yokedock/process/bundle_commands.py
@@ -12,9 +12,9 @@
 from yokedock.base.clock import wall_clock_ms
 from yokedock.process.bundle_diff import diff_bundles
 from yokedock.process.bundle_files import (
+    format_public_key,
     open_signed,
     parse_public_key,
-    public_text,
     read_private_key,
     read_signed,
     write_private_key,
@@ -42,7 +42,7 @@
     """Generate a signing key: write the private key to FILE and print the public key."""
     key = Ed25519PrivateKey.generate()
     write_private_key(key, file)
-    print(public_text(key.public_key()))
+    print(format_public_key(key.public_key()))
 
 
 @app.command(name="sign")
--- a/src/yokedock/process/bundle_files.py
+++ b/src/yokedock/process/bundle_files.py
@@ -70,6 +70,6 @@
         raise BundleRejected(message) from None
 
 
-def public_text(key: Ed25519PublicKey) -> str:
+def format_public_key(key: Ed25519PublicKey) -> str:
     """Return a public key in base64, as used in settings."""
     return base64.b64encode(key.public_bytes_raw()).decode()
--- a/src/yokedock/process/gateway.py
+++ b/src/yokedock/process/gateway.py
@@ -250,7 +250,7 @@
             PeerAddress(name, replica.zone, self._address_of(name, replica.agent))
             for name, replica in bundle.replicas.items()
         ]
-        self.peers.want(wanted)
+        self.peers.set_peers(wanted)
 
     def _address_of(self, name: str, stated: str) -> str:
         """Return an agent's address from the machine list, or from the bundle if it has none."""
--- a/src/yokedock/process/peer_directory.py
+++ b/src/yokedock/process/peer_directory.py
@@ -49,7 +49,7 @@
         with self._lock:
             return next((p for a, p in self._peers.items() if a.name == name), None)
 
-    def want(self, addresses: list[PeerAddress]) -> None:
+    def set_peers(self, addresses: list[PeerAddress]) -> None:
         """Start and stop peers so that exactly ``addresses`` remain."""
         wanted = set(addresses)
         with self._lock:
@@ -74,7 +74,7 @@
     def stop(self) -> None:
         """Stop all actors."""
         self._ticker.stop()
-        self.want([])
+        self.set_peers([])
 
     def _start(self, address: PeerAddress) -> AgentPeerHandle:
         return start_peer(
--- a/src/yokedock/process/lease_holder.py
+++ b/src/yokedock/process/peer_lease_actor.py
@@ -55,7 +55,7 @@
 """
 
 
-class HolderContext(Protocol):
+class PeerLeaseContext(Protocol):
     """Interface of the agent process that a lease actor uses."""
 
     def stamp(self) -> BundleStamp:
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True)
-class Inbound:
+class InboundFrame:
     """A frame received from the peer."""
 
     connection: PeerConnection
@@ -113,13 +113,13 @@
     """Request to expire the lease, since the process was paused."""
 
 
-class LeaseHolder(pykka.ThreadingActor):
+class PeerLeaseActor(pykka.ThreadingActor):
     """Handles the frames and the lease of one peer that sends commands to this agent."""
 
     use_daemon_thread = True
 
     def __init__(
-        self, name: str, backend: Backend, context: HolderContext, workers: ThreadPoolExecutor
+        self, name: str, backend: Backend, context: PeerLeaseContext, workers: ThreadPoolExecutor
     ) -> None:
         """Create the actor of the peer called ``name``, with an expired lease."""
         super().__init__()
@@ -142,7 +142,7 @@
     def _handle(self, message: Any) -> Any:
         self._context.check_pause()
         match message:
-            case Inbound():
+            case InboundFrame():
                 self._handle_frame(message.connection, message.frame)
             case ConnectionClosed():
                 self._connection_closed(message.connection)
--- a/src/yokedock_emulator/bench_deployment.py
+++ b/src/yokedock_emulator/bench_deployment.py
@@ -12,7 +12,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from yokedock.base.clock import boot_time_s, wall_clock_ms
-from yokedock.process.bundle_files import public_text
+from yokedock.process.bundle_files import format_public_key
 from yokedock.version.bundle_codec import sign_bundle
 from yokedock.version.bundle_source import read_bundle_source
 from yokedock_emulator.platform import PublishedValue
@@ -116,7 +116,7 @@
             "admin": {"listen": admin},
             "platform": {
                 "configuration_url": self._platform,
-                "bundle_public_key": public_text(self._key.public_key()),
+                "bundle_public_key": format_public_key(self._key.public_key()),
             },
         }
         path = write_ini(self._directory / f"{name}.ini", settings)
--- a/src/yokedock_emulator/hollow.py
+++ b/src/yokedock_emulator/hollow.py
@@ -17,8 +17,8 @@
 from yokedock.connection.secure_session import LOOPBACK_KEY
 from yokedock.messages import AnyMessage, BundleStamp, Done, Frame, LoadReport
 from yokedock.process.exit import exit_now
-from yokedock.process.lease_holder import Inbound, LeaseHolder
 from yokedock.process.peer_directory import PeerAddress, PeerDirectory
+from yokedock.process.peer_lease_actor import InboundFrame, PeerLeaseActor
 from yokedock.request.backend import Backend, OrderGuard, SendFrame
 
 ANY_PORT = "127.0.0.1:0"
@@ -73,20 +73,20 @@
         """Listen on any free port."""
         self.backend = HollowBackend()
         self._workers = ThreadPoolExecutor(WORKERS)
-        self._holders: dict[str, object] = {}
+        self._lease_actors: dict[str, object] = {}
         self._listener = PeerListener(ANY_PORT, name, 1, LOOPBACK_KEY, self._arrived, self._closed)
         self.address = self._listener.address
         self._listener.start()
 
     def _arrived(self, connection: PeerConnection, frame: Frame) -> None:
-        holder = self._holders.get(connection.name)
+        holder = self._lease_actors.get(connection.name)
         if holder is None:
-            holder = LeaseHolder.start(connection.name, self.backend, self, self._workers)
-            self._holders[connection.name] = holder
-        holder.tell(Inbound(connection, frame))  # type: ignore[attr-defined]
+            holder = PeerLeaseActor.start(connection.name, self.backend, self, self._workers)
+            self._lease_actors[connection.name] = holder
+        holder.tell(InboundFrame(connection, frame))  # type: ignore[attr-defined]
 
     def _closed(self, connection: PeerConnection) -> None:
-        self._holders.pop(connection.name, None)
+        self._lease_actors.pop(connection.name, None)
 
     # --- HolderContext ---
 
@@ -131,7 +131,7 @@
     def connect(self, addresses: list[str]) -> list[AgentPeerHandle]:
         """Talk to the agents at ``addresses``."""
         wanted = [PeerAddress(f"agent-{n}", "zone-1", a) for n, a in enumerate(addresses)]
-        self.peers.want(wanted)
+        self.peers.set_peers(wanted)
         return self.peers.all()
 
     # --- PeerContext ---
