--- a/src/yokedock/process/fleet_talk.py
+++ b/src/yokedock/process/fleet_talk.py
@@ -1,7 +1,7 @@
-"""What one router tells the others of itself, and what it takes in from them.
+"""Builds the state that a router gossips to the others, and applies the states received from them.
 
-Each part of a router keeps its own beliefs; this module only carries them between the parts and the
-datagrams, and keeps the highest fencing token that was heard.
+Each component of a router keeps its own data. This module only passes it between the components and
+the datagrams, and keeps the highest fencing token that was received.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 _log = logger("router")
 
 
-class TalkingParts(msgspec.Struct, frozen=True):
-    """The parts of a router that others hear of, or that hear of others."""
+class GossipComponents(msgspec.Struct, frozen=True):
+    """The components of a router whose state is sent to other routers, or that apply theirs."""
 
     name: str
     gossip: RouterGossip
@@ -46,91 +46,101 @@
     stop: StopState
 
 
-class FleetTalk:
-    """Speaks for one router; its methods are called by the gossip once ``join`` was."""
+class GossipHandler:
+    """Connects the gossip with the components of one router.
+
+    The gossip calls its methods, which requires that ``attach`` was called before.
+    """
 
     def __init__(self) -> None:
-        """Start before the parts are there: some of them need this object."""
-        self._parts: TalkingParts
+        """Create a handler without components, as some of them need it for their construction."""
+        self._components: GossipComponents
         self._incarnation_ms = wall_clock_ms()
         self._highest_token = 0
         self._own_token: int | None = None
 
-    def join(self, parts: TalkingParts) -> None:
-        """Speak for these parts from now on."""
-        self._parts = parts
+    def attach(self, components: GossipComponents) -> None:
+        """Use these components from now on."""
+        self._components = components
 
-    def state(self, sequence: int, heard: tuple[str, ...]) -> RouterState:
-        """Return what is told now; ``heard`` are addresses of other routers to name."""
-        parts = self._parts
+    def own_state(self, sequence: int, routers: tuple[str, ...]) -> RouterState:
+        """Return the state to send; ``routers`` are the addresses of other routers to include."""
+        components = self._components
         return RouterState(
-            parts.name,
+            components.name,
             self._incarnation_ms,
             sequence,
-            parts.follower.version,
-            parts.follower.position.revision,
-            parts.stop.is_stopping,
-            parts.placement.waiting_in_time(),
-            parts.ledger.shares(),
-            "" if parts.stop.is_stopping else parts.leadership.vote(),
+            components.follower.version,
+            components.follower.position.revision,
+            components.stop.is_stopping,
+            components.placement.waiting_in_time(),
+            components.ledger.shares(),
+            "" if components.stop.is_stopping else components.leadership.vote(),
             self._highest_token,
-            parts.roles.changing(),
-            heard,
-            parts.placement.queues(),
-            parts.follower.source_age_ms(),
-            parts.follower.news(),
-            parts.backends.broken(),
-            parts.poison.told(),
-            parts.backends.recently_leaving(),
-            parts.backends.limits(),
-            era=parts.follower.position.era,
+            components.roles.changing(),
+            routers,
+            components.placement.queues(),
+            components.follower.source_age_ms(),
+            components.follower.news(),
+            components.backends.broken(),
+            components.poison.told(),
+            components.backends.recently_leaving(),
+            components.backends.limits(),
+            era=components.follower.position.era,
         )
 
     def source_contacts(self) -> list[SourceContact]:
-        """Return what the routers heard a moment ago told of their contact with the source."""
-        parts = self._parts
+        """Return what the live routers last reported about their contact with the state source."""
+        components = self._components
         return [
             SourceContact(
                 other.address, other.state.source_age_ms, other.heard_s, other.state.is_leaving
             )
-            for other in parts.gossip.alive()
+            for other in components.gossip.alive()
             if other.state is not None
         ]
 
-    def heard(self, other: OtherRouter) -> None:
-        """Take in what another router told; all of it is as old as ``other.heard_s`` says."""
-        parts = self._parts
+    def apply_state(self, other: OtherRouter) -> None:
+        """Apply the state of another router, which dates from ``other.heard_s``."""
+        components = self._components
         assert other.state is not None
         state = other.state
-        parts.ledger.heard(other.address, state.shares, other.heard_s)
-        if parts.remote_queues.heard(other.address, state.queues, other.heard_s):
-            parts.ledger.on_capacity_freed()
+        components.ledger.heard(other.address, state.shares, other.heard_s)
+        if components.remote_queues.heard(other.address, state.queues, other.heard_s):
+            components.ledger.on_capacity_freed()
         self._highest_token = max(self._highest_token, state.token)
-        parts.leadership.heard(Vote(other.address, state.leader, other.heard_s, state.is_leaving))
-        parts.registry.set_changing(other.address, state.changing)
-        parts.backends.apply_remote_broken(state.broken, other.heard_s)
-        parts.poison.heard(state.suspects, other.heard_s)
-        parts.backends.apply_remote_leaving(state.leaving, other.heard_s)
-        parts.backends.apply_remote_limits(other.address, state.limits, other.heard_s)
-        parts.follower.take_news(state.news)
-        parts.exchange.heard(state)
-
-    def leading_token(self) -> int | None:
-        """Return this router's fencing token while it leads; a new one each time it begins to."""
-        parts = self._parts
-        if parts.stop.is_stopping or not parts.leadership.leads(parts.gossip.known()):
+        components.leadership.heard(
+            Vote(other.address, state.leader, other.heard_s, state.is_leaving)
+        )
+        components.registry.set_changing(other.address, state.changing)
+        components.backends.apply_remote_broken(state.broken, other.heard_s)
+        components.poison.heard(state.suspects, other.heard_s)
+        components.backends.apply_remote_leaving(state.leaving, other.heard_s)
+        components.backends.apply_remote_limits(other.address, state.limits, other.heard_s)
+        components.follower.take_news(state.news)
+        components.exchange.on_router_state(state)
+
+    def fencing_token(self) -> int | None:
+        """Return this router's fencing token while it leads, else None.
+
+        Each term of leadership has a new token.
+        """
+        components = self._components
+        if components.stop.is_stopping or not components.leadership.leads(
+            components.gossip.known()
+        ):
             self._own_token = None
             return None
         if self._own_token is None:
             self._own_token = max(self._highest_token + 1, wall_clock_ms())
             self._highest_token = self._own_token
-            _log.info("leads", token=self._own_token, known=parts.gossip.known())
+            _log.info("leads", token=self._own_token, known=components.gossip.known())
         return self._own_token
 
-    def silent(self, other: OtherRouter) -> None:
-        """Drop what a router told that is no longer heard."""
-        parts = self._parts
-        parts.registry.set_changing(other.address, ())
-        parts.backends.drop_waiting_of(other.address)
-        parts.remote_queues.forget(other.address)
-        parts.ledger.forget(other.address)
+    def drop_state_of(self, other: OtherRouter) -> None:
+        """Drop the state of a router that has become silent."""
+        components = self._components
+        components.registry.set_changing(other.address, ())
+        components.backends.drop_waiting_of(other.address)
+        components.remote_queues.forget(other.address)
+        components.ledger.forget(other.address)
--- a/src/yokedock/process/log_explain.py
+++ b/src/yokedock/process/log_explain.py
@@ -1,8 +1,8 @@
-"""Explains from routers' logs where requests lost their time or their answer.
+"""Explains from routers' logs why requests were late or not answered.
 
-Reads the structured lines of one or several routers and tells, for each window of time and each
-route, how many requests were answered in time, late or not at all, and for what reason. Whatever
-stands on a line before its JSON object (a collector's own columns) is passed over.
+Reads the structured log lines of one or more routers and reports, per time window and route, how
+many requests were answered in time, late or not at all, and why. Any text before the JSON object on
+a line, such as a log collector's own columns, is ignored.
 """
 
 from __future__ import annotations
@@ -19,15 +19,18 @@
 
 SERVER_ERROR = 500
 MS_PER_SECOND = 1000
-REFUSALS = frozenset({"no_decode_room", "no_backend", "not_ready"})
-LOST = frozenset({"backend_answer_lost", "backend_broken", "backend_closed", "backend_silent"})
-"""Codes of the router's errors, by what they mean for the caller."""
+REFUSAL_CODES = frozenset({"no_decode_room", "no_backend", "not_ready"})
+"""Error codes of requests that the router refused."""
+LOST_ANSWER_CODES = frozenset(
+    {"backend_answer_lost", "backend_broken", "backend_closed", "backend_silent"}
+)
+"""Error codes of requests whose backend failed before the answer was complete."""
 
 
 class Cause(enum.StrEnum):
-    """Where a request lost its time or its answer."""
+    """Why a request was late or not answered."""
 
-    ROOM = "waited for decode room"
+    DECODE_CAPACITY = "waited for decode room"
     PREFILL = "queue and work of the prefill engine"
     FIRST_STEP = "slow first step"
     PAUSE = "pause in the stream"
@@ -42,7 +45,7 @@
 
 
 class RequestLine(msgspec.Struct):
-    """The line at a request's end."""
+    """The log line at the end of a request."""
 
     request: str
     route: str
@@ -55,7 +58,7 @@
 
 
 class StreamLine(msgspec.Struct):
-    """The line at a stream's end; times count from the request's arrival."""
+    """The log line at the end of a stream; times are relative to the request's arrival."""
 
     request: str
     engines: list[str] = []
@@ -66,15 +69,18 @@
 
 
 class PlacedLine(msgspec.Struct):
-    """The line at a stream's placement, which a router that dies leaves without an end."""
+    """The log line at the placement of a stream.
+
+    It is not followed by a line at the end of the request if the router ended in between.
+    """
 
     request: str
     route: str
     engines: list[str] = []
 
 
-class RoomLine(msgspec.Struct):
-    """The line at the end of a wait for room."""
+class CapacityWaitLine(msgspec.Struct):
+    """The log line at the end of a wait for decode capacity."""
 
     request: str
     predicted_ms: int
@@ -82,15 +88,15 @@
 
 
 class LogLine(msgspec.Struct):
-    """What every line has."""
+    """The fields that every log line has."""
 
     time: datetime.datetime
     channel: str
     event: str
 
 
-class Explained(msgspec.Struct, frozen=True):
-    """One request, explained. ``cause`` is None for what was answered in time."""
+class ExplainedRequest(msgspec.Struct, frozen=True):
+    """One request and its diagnosis. ``cause`` is None if it was answered in time."""
 
     arrived_s: float
     route: str
@@ -99,62 +105,62 @@
 
 
 class LogBook:
-    """What the logs say, by request."""
+    """The log lines read so far, by request."""
 
     def __init__(self) -> None:
-        """Start with nothing read."""
-        self.ends: dict[str, tuple[float, RequestLine]] = {}
+        """Start empty."""
+        self.finished: dict[str, tuple[float, RequestLine]] = {}
         self.streams: dict[str, StreamLine] = {}
-        self.placed: dict[str, tuple[float, PlacedLine]] = {}
-        self.rooms: dict[str, RoomLine] = {}
-        self.refused_rooms: dict[str, RoomLine] = {}
+        self.placements: dict[str, tuple[float, PlacedLine]] = {}
+        self.capacity_waits: dict[str, CapacityWaitLine] = {}
+        self.refused_waits: dict[str, CapacityWaitLine] = {}
         self.skipped = 0
-        """Lines that are no log lines of a router."""
+        """Number of lines that are not log lines of a router."""
 
     def read(self, lines: Iterable[str]) -> None:
-        """Take in lines; what is none of a router's is counted and passed over."""
+        """Read lines; those that are not log lines of a router are counted and skipped."""
         for line in lines:
             start = line.find('{"time"')
             if start < 0:
                 self.skipped += bool(line.strip())
                 continue
             try:
-                self._take(line[start:].encode())
+                self._parse_line(line[start:].encode())
             except msgspec.MsgspecError:
                 self.skipped += 1
 
-    def explained(self) -> list[Explained]:
-        """Return all requests in the order of their arrival."""
-        found = [self._explain(at_s, end) for at_s, end in self.ends.values()]
-        for request, (at_s, placed) in self.placed.items():
-            if request not in self.ends:
-                found.append(Explained(at_s, placed.route, False, Cause.ROUTER_GONE))
-        return sorted(found, key=lambda one: one.arrived_s)
+    def explained(self) -> list[ExplainedRequest]:
+        """Return all requests in order of arrival."""
+        found = [self._explain(at_s, end) for at_s, end in self.finished.values()]
+        for request, (at_s, placed) in self.placements.items():
+            if request not in self.finished:
+                found.append(ExplainedRequest(at_s, placed.route, False, Cause.ROUTER_GONE))
+        return sorted(found, key=lambda request: request.arrived_s)
 
-    def _take(self, data: bytes) -> None:
+    def _parse_line(self, data: bytes) -> None:
         line = msgspec.json.decode(data, type=LogLine)
         at_s = line.time.timestamp()
         if line.event == "request":
             end = msgspec.json.decode(data, type=RequestLine)
             if end.request:
-                self.ends[end.request] = (at_s - end.held_ms / MS_PER_SECOND, end)
+                self.finished[end.request] = (at_s - end.held_ms / MS_PER_SECOND, end)
         elif line.event == "stream":
             stream = msgspec.json.decode(data, type=StreamLine)
             self.streams[stream.request] = stream
         elif line.event == "placed":
             placed = msgspec.json.decode(data, type=PlacedLine)
-            self.placed.setdefault(placed.request, (at_s, placed))
+            self.placements.setdefault(placed.request, (at_s, placed))
         elif line.event in ("room", "no room"):
-            room = msgspec.json.decode(data, type=RoomLine)
-            book = self.rooms if line.event == "room" else self.refused_rooms
-            book[room.request] = room
+            wait = msgspec.json.decode(data, type=CapacityWaitLine)
+            waits = self.capacity_waits if line.event == "room" else self.refused_waits
+            waits[wait.request] = wait
 
-    def _explain(self, arrived_s: float, end: RequestLine) -> Explained:
+    def _explain(self, arrived_s: float, end: RequestLine) -> ExplainedRequest:
         stream = self.streams.get(end.request)
         is_served = end.outcome == "answered" and end.status is not None
         is_served = is_served and (end.status or 0) < SERVER_ERROR
         cause = _cause_late(end, stream) if is_served else _cause_unserved(end, stream)
-        return Explained(arrived_s, end.route, is_served, cause)
+        return ExplainedRequest(arrived_s, end.route, is_served, cause)
 
 
 def _cause_unserved(end: RequestLine, stream: StreamLine | None) -> Cause:
@@ -162,17 +168,17 @@
         return Cause.CALLER_GONE
     if end.outcome == "ended":
         return Cause.ROUTER_GONE
-    if end.outcome in REFUSALS:
+    if end.outcome in REFUSAL_CODES:
         return Cause.REFUSED
     if end.outcome == "answered":
         return Cause.ENGINE_ERROR
-    if end.outcome in LOST or (stream is not None and len(stream.engines) > 1):
+    if end.outcome in LOST_ANSWER_CODES or (stream is not None and len(stream.engines) > 1):
         return Cause.BROKEN
     return Cause.DEADLINE if end.outcome == "deadline_exceeded" else Cause.OTHER
 
 
 def _cause_late(end: RequestLine, stream: StreamLine | None) -> Cause | None:
-    """Return what took most of the time of a late request, None if it was in time."""
+    """Return what took most of the time of a late request, None if it was on time."""
     if stream is None or stream.first_ms is None:
         is_late = 0 < end.target_ms < end.held_ms
         if not is_late:
@@ -191,26 +197,26 @@
     placed_ms = stream.placed_ms or 0
     read_ms = stream.read_ms if stream.read_ms is not None else placed_ms
     parts = {
-        Cause.ROOM: placed_ms,
+        Cause.DECODE_CAPACITY: placed_ms,
         Cause.PREFILL: read_ms - placed_ms,
         Cause.FIRST_STEP: (stream.first_ms or 0) - read_ms,
     }
     return max(parts, key=lambda cause: parts[cause])
 
 
-def window_table(explained: list[Explained], window_s: float) -> str:
-    """Return a table: window, route, asked, in time, late, unserved, and the causes."""
+def window_table(explained: list[ExplainedRequest], window_s: float) -> str:
+    """Return a table of the requests and causes per time window and route."""
     if not explained:
-        return "no request in these logs"
+        return "no requests in these logs"
     first_s = explained[0].arrived_s
-    groups: dict[tuple[int, str], list[Explained]] = collections.defaultdict(list)
-    for one in explained:
-        groups[int((one.arrived_s - first_s) // window_s), one.route].append(one)
+    groups: dict[tuple[int, str], list[ExplainedRequest]] = collections.defaultdict(list)
+    for request in explained:
+        groups[int((request.arrived_s - first_s) // window_s), request.route].append(request)
     rows = []
     for (window, route), requests in sorted(groups.items()):
-        causes = collections.Counter(one.cause.value for one in requests if one.cause)
-        late = sum(one.is_served and one.cause is not None for one in requests)
-        unserved = sum(not one.is_served for one in requests)
+        causes = collections.Counter(r.cause.value for r in requests if r.cause)
+        late = sum(r.is_served and r.cause is not None for r in requests)
+        unserved = sum(not r.is_served for r in requests)
         rows.append(
             (
                 f"{window * window_s:g}",
@@ -226,20 +232,26 @@
     return format_table(header, rows)
 
 
-def prediction_text(book: LogBook) -> str:
-    """Return how well waits for room were predicted."""
-    waits = [room for room in book.rooms.values() if room.predicted_ms > 0 and room.waited_ms > 0]
-    lines = [f"waits for room that were served: {len(book.rooms)}"]
+def prediction_text(logs: LogBook) -> str:
+    """Return how accurately waits for decode capacity were predicted."""
+    waits = [
+        wait
+        for wait in logs.capacity_waits.values()
+        if wait.predicted_ms > 0 and wait.waited_ms > 0
+    ]
+    lines = [f"waits for decode capacity that were served: {len(logs.capacity_waits)}"]
     if waits:
-        ratios = sorted(room.waited_ms / room.predicted_ms for room in waits)
+        ratios = sorted(wait.waited_ms / wait.predicted_ms for wait in waits)
         lines.append(
-            f"  predicted {statistics.median(r.predicted_ms for r in waits):.0f} ms, waited"
-            f" {statistics.median(r.waited_ms for r in waits):.0f} ms (medians)"
+            f"  predicted {statistics.median(w.predicted_ms for w in waits):.0f} ms, waited"
+            f" {statistics.median(w.waited_ms for w in waits):.0f} ms (medians)"
         )
         tenth = len(ratios) // 10
         low, middle, high = ratios[tenth], statistics.median(ratios), ratios[-1 - tenth]
-        lines.append(f"  waited / predicted: {low:.2f} {middle:.2f} {high:.2f} (10, 50, 90 in 100)")
-    refused = [room for room in book.refused_rooms.values() if room.waited_ms < room.predicted_ms]
-    ended = len(book.refused_rooms) - len(refused)
+        lines.append(
+            f"  waited / predicted: {low:.2f} {middle:.2f} {high:.2f} (percentiles 10, 50, 90)"
+        )
+    refused = [w for w in logs.refused_waits.values() if w.waited_ms < w.predicted_ms]
+    ended = len(logs.refused_waits) - len(refused)
     lines.append(f"refused on a prediction: {len(refused)}; waited and never served: {ended}")
     return "\n".join(lines)
--- a/src/yokedock/process/request_intake.py
+++ b/src/yokedock/process/request_intake.py
@@ -1,4 +1,4 @@
-"""From a caller's connection to the part that serves: one request is routed and seen through."""
+"""Routes callers' requests and passes each to the component that serves its kind."""
 
 from __future__ import annotations
 
@@ -29,72 +29,73 @@
 
 SERVER_ERROR = 500
 
-COME_BACK_S = 0.5
-UNKNOWN_WAIT_S = 0.2
-"""A request waits this long for routes that are not known yet: most starts need less."""
-UNKNOWN_COME_BACK_S = 1.0
-ELSEWHERE_S = 1.0
-"""When to come back for a stream that a stopping router refused: others may be stopping too."""
-AT_ONCE_S = 0.05
-"""When to come back to another router."""
-ESTIMATES_TRUSTED_S = 2.5
-"""Streams that came so soon after a planned stop began may be cut at its end (the platform's figure
-is 3 s from the client's sending)."""
-STREAM_START_S = 0.5
-TOKEN_S = 0.006
-"""What a stream is reckoned to take to its start and for each token, when stopping."""
+RETRY_AFTER_S = 0.5
+STARTUP_WAIT_S = 0.2
+"""How long a request waits for the routes to become known: most routers start faster."""
+STARTUP_RETRY_AFTER_S = 1.0
+REFUSED_STREAM_RETRY_AFTER_S = 1.0
+"""Retry-after time for a stream that a stopping router refused: others may be stopping too."""
+IMMEDIATE_RETRY_AFTER_S = 0.05
+"""Retry-after time for a request that another router can serve now."""
+HINT_TRUST_S = 2.5
+"""How long after the start of a graceful shutdown the callers' estimates of output lengths are
+used: the end of the shutdown may cut off streams that arrived in this time. The platform allows
+this for 3 s, counted from when the client sent the request."""
+STREAM_START_ESTIMATE_S = 0.5
+TOKEN_ESTIMATE_S = 0.006
+"""Estimated time to the start of a stream, and for each token, during a graceful shutdown."""
 
 
 class StopState(msgspec.Struct):
-    """How far a planned stop has come."""
+    """Progress of a graceful shutdown."""
 
     is_stopping: bool = False
     since_s: float = 0.0
-    """When the stop began (boot time, s)."""
+    """When the shutdown began (boot time, s)."""
     is_ending: bool = False
-    """Whoever still waits, or comes, gets a final answer now: nothing more is passed on."""
-    last_answers_s: float = 0.0
-    """When that will be (boot time, s)."""
+    """Whether waiting and new requests get a final answer now, without being forwarded."""
+    final_answers_s: float = 0.0
+    """When ``is_ending`` will be set (boot time, s)."""
 
 
-class RequestIntake:
-    """Routes requests and hands each to the part that serves its kind."""
+class RequestHandler:
+    """Routes requests and passes each to the component that serves its kind."""
 
     def __init__(
         self,
         follower: StateFollower,
         dialect: Dialect,
         generations: GenerationCalls,
-        opaque: UnaryCalls,
+        unary: UnaryCalls,
         guard: QuarantineGuard,
         metrics: RouterMetrics,
         stop: StopState,
     ) -> None:
-        """Share the process's state and parts."""
+        """Use the state and the components that the whole process shares."""
         self._follower = follower
         self._dialect = dialect
         self._generations = generations
-        self._opaque = opaque
+        self._opaque = unary
         self._guard = guard
         self._metrics = metrics
         self._stop = stop
         self._random = new_random()
         self.active = 0
-        """Requests that are being served."""
+        """Number of requests being served."""
 
     async def answer(self, request: CallerRequest, answer: AnswerWriter) -> None:
-        """Route one request and see it through."""
+        """Route one request and serve it until it has ended."""
         self.active += 1
         call: RoutedCall | None = None
         outcome = ANSWERED
         try:
-            # A busy router reads requests of callers who have left meanwhile.
+            # On a busy router, callers may disconnect before their requests are read.
             answer.require_caller()
             if self._stop.is_ending:
-                raise self._ending_error(None)
-            await self._follower.wait_known(UNKNOWN_WAIT_S)
+                raise self._shutdown_error(None)
+            await self._follower.wait_known(STARTUP_WAIT_S)
             call = self._route(request, answer)
-            self._refuse_late_work(call)
+            self._require_time_for_stream(call)
             async with self._guard.served(call):
                 await self._serve(call)
         except asyncio.CancelledError:
@@ -102,7 +103,7 @@
                 outcome = "caller gone"
                 raise
             outcome = "ended"
-            raise self._ending_error(call) from None
+            raise self._shutdown_error(call) from None
         except CallerGone:
             outcome = "caller gone"
             raise
@@ -123,45 +124,47 @@
     def _route(self, request: CallerRequest, answer: AnswerWriter) -> RoutedCall:
         index = self._follower.index
         if index is None:
-            raise NotReady("no routes are known yet; retry later", UNKNOWN_COME_BACK_S)
+            raise NotReady("the routes are not known yet; retry later", STARTUP_RETRY_AFTER_S)
         host = request.head.get(b"host")
         if host is None:
-            raise BadRequest("no Host header; send one")
+            raise BadRequest("missing Host header; send one")
         route = index.find(host, request.head.path)
         if route is None:
-            raise NotFound(f"no route for {host}{request.head.path}; look at the configuration")
+            raise NotFound(f"no route for {host}{request.head.path}; check the configuration")
         terms = self._dialect.call_terms(request.head)
         return RoutedCall(request, answer, terms, route, self._service(index.table, route))
 
-    def _refuse_late_work(self, call: RoutedCall) -> None:
-        """Refuse a stream that would not end before this router must.
+    def _require_time_for_stream(self, call: RoutedCall) -> None:
+        """Refuse a stream that would not end before this router stops.
 
-        Callers' estimates of a stream's length are often far off: later in the stop they are not
-        trusted, since what is taken then may not be cut.
+        Callers' estimates of the output length are often wrong. They are ignored later in the
+        shutdown, because streams accepted then must not be cut off.
         """
         if not self._stop.is_stopping or call.terms.generation is None:
             return
         terms, now_s = call.terms.generation, boot_time_s()
         tokens = terms.most_output_tokens
-        if now_s - self._stop.since_s < ESTIMATES_TRUSTED_S:
+        if now_s - self._stop.since_s < HINT_TRUST_S:
             tokens = terms.output_hint or tokens
-        end_s = now_s + STREAM_START_S + tokens * TOKEN_S
-        if end_s > self._stop.last_answers_s:
-            raise NotReady("the router is stopping; retry elsewhere", ELSEWHERE_S)
+        end_s = now_s + STREAM_START_ESTIMATE_S + tokens * TOKEN_ESTIMATE_S
+        if end_s > self._stop.final_answers_s:
+            raise NotReady("the router is stopping; retry elsewhere", REFUSED_STREAM_RETRY_AFTER_S)
 
     def _service(self, table: RouteTable, route: Route) -> ServiceSpec:
-        """Choose one of the route's services by weight."""
+        """Choose one of the route's services at random by weight."""
         targets = [target for target in route.targets if target.weight > 0]
         if not targets:
-            raise NotReady(f"route {route.name} has no service; retry later", COME_BACK_S)
+            raise NotReady(f"route {route.name} has no service; retry later", RETRY_AFTER_S)
         weights = [target.weight for target in targets]
         chosen = self._random.choices(targets, weights)[0].service
         return table.services.get(chosen) or ServiceSpec(chosen)
 
-    def _ending_error(self, call: RoutedCall | None) -> YokedockError:
+    def _shutdown_error(self, call: RoutedCall | None) -> YokedockError:
         if call is not None and call.may_have_run:
-            return BackendAnswerLost("the router stopped before the answer came; look it up first")
-        return NotReady("the router is stopping; retry at once", AT_ONCE_S)
+            return BackendAnswerLost(
+                "the router stopped before the answer arrived; check the request's outcome first"
+            )
+        return NotReady("the router is stopping; retry immediately", IMMEDIATE_RETRY_AFTER_S)
 
     def _log_end(
         self,
@@ -197,5 +200,5 @@
 
 
 def _zone(call: RoutedCall) -> str:
-    """Return the zone of the backend that was asked last, empty if none was."""
+    """Return the zone of the last backend that was called, empty if there was none."""
     return call.visits[-1].zone if call.visits else ""
--- a/src/yokedock/process/request_story.py
+++ b/src/yokedock/process/request_story.py
@@ -1,7 +1,7 @@
-"""Tells the story of one request from the logs of many routers: who held it, where, how long.
+"""Traces one request through the logs of many routers: which router and backends, and how long.
 
-Files are searched as bytes, so that only the lines that name the request are decoded: 452 MB from
-68 machines, 2.7 million lines, take 1.1 s.
+Files are searched as bytes, so that only the lines that contain the request id are decoded: 452 MB
+from 68 machines, 2.7 million lines, take 1.1 s.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 from yokedock.process.tables import format_table
 from yokedock.request.request_outcome import ANSWERED, BackendVisit
 
-LINE_START = b'{"time"'
+LINE_PREFIX = b'{"time"'
 LOG_PATTERN = "*.log"
-"""Files of a directory that are taken for logs of routers."""
+"""Files in a directory that are read as logs of routers."""
 MS_PER_SECOND = 1000
 
 
-class StoryLine(msgspec.Struct):
-    """A line that names the request; every field but the first three may be missing."""
+class TraceLine(msgspec.Struct):
+    """A log line of the request; all fields except the first three are optional."""
 
     time: datetime.datetime
     event: str
@@ -44,23 +44,23 @@
     reason: str = ""
 
 
-class RequestStory(msgspec.Struct):
-    """What one router's log says of a request."""
+class RequestTrace(msgspec.Struct):
+    """The lines of one request in one router's log."""
 
     file: Path
-    lines: list[StoryLine]
+    lines: list[TraceLine]
 
-    def end(self) -> StoryLine | None:
-        """Return the line at the request's end, None if the router wrote none."""
+    def end(self) -> TraceLine | None:
+        """Return the line at the end of the request, None if the router wrote none."""
         return next((line for line in self.lines if line.event == "request"), None)
 
-    def stream(self) -> StoryLine | None:
-        """Return the line at the end of its stream."""
+    def stream(self) -> TraceLine | None:
+        """Return the line at the end of the stream, None if there is none."""
         return next((line for line in self.lines if line.event == "stream"), None)
 
 
 def log_files(paths: Iterable[Path]) -> list[Path]:
-    """Return all files named, and those of all directories; raises ``LogsUnreadable``."""
+    """Return all given files and those in the given directories; raises ``LogsUnreadable``."""
     found: list[Path] = []
     for path in paths:
         if path.is_dir():
@@ -68,76 +68,78 @@
         elif path.is_file():
             found.append(path)
         else:
-            raise LogsUnreadable(f"{path} is no file and no directory; name where the logs are")
+            raise LogsUnreadable(
+                f"{path} is not a file or directory; name the logs' files or directory"
+            )
     if not found:
-        raise LogsUnreadable(f"there is no {LOG_PATTERN} there; name the logs' files or directory")
+        raise LogsUnreadable(f"found no {LOG_PATTERN} files; name the logs' files or directory")
     return found
 
 
-def stories(request: str, files: Iterable[Path]) -> list[RequestStory]:
-    """Return what each router's log says of a request, in the order of time."""
-    found = [RequestStory(file, list(_lines_of(request, file))) for file in files]
-    told = [story for story in found if story.lines]
-    return sorted(told, key=lambda story: story.lines[0].time)
+def stories(request: str, files: Iterable[Path]) -> list[RequestTrace]:
+    """Return the traces of a request in each router's log, ordered by time."""
+    found = [RequestTrace(file, list(_lines_of(request, file))) for file in files]
+    traces = [trace for trace in found if trace.lines]
+    return sorted(traces, key=lambda trace: trace.lines[0].time)
 
 
-def _lines_of(request: str, file: Path) -> Iterator[StoryLine]:
+def _lines_of(request: str, file: Path) -> Iterator[TraceLine]:
     wanted = f'"{request}"'.encode()
     try:
         with file.open("rb") as opened:
             if not file.stat().st_size:
                 return
             with mmap.mmap(opened.fileno(), 0, access=mmap.ACCESS_READ) as content:
-                yield from _matching(wanted, request, content)
+                yield from _matching_lines(wanted, request, content)
     except OSError as error:
-        raise LogsUnreadable(f"{file}: {error.strerror}; make it readable") from None
+        raise LogsUnreadable(f"cannot read {file}: {error.strerror}; make it readable") from None
 
 
-def _matching(wanted: bytes, request: str, content: mmap.mmap) -> Iterator[StoryLine]:
-    """Return the lines that name the request; what is none of a router's is passed over."""
+def _matching_lines(wanted: bytes, request: str, content: mmap.mmap) -> Iterator[TraceLine]:
+    """Return the log lines of the request, and skip lines that are not a router's."""
     at = content.find(wanted)
     while at >= 0:
         start = content.rfind(b"\n", 0, at) + 1
         end = content.find(b"\n", at)
         end = end if end >= 0 else len(content)
         line = content[start:end]
-        begin = line.find(LINE_START)
+        begin = line.find(LINE_PREFIX)
         try:
-            story = msgspec.json.decode(line[max(0, begin) :], type=StoryLine)
+            entry = msgspec.json.decode(line[max(0, begin) :], type=TraceLine)
         except msgspec.MsgspecError:
-            story = None
-        if story is not None and story.request == request:
-            yield story
+            entry = None
+        if entry is not None and entry.request == request:
+            yield entry
         at = content.find(wanted, end)
 
 
-def story_text(story: RequestStory) -> str:
-    """Return one router's part of a request's story."""
-    end, stream = story.end(), story.stream()
-    lines = [f"router log {story.file}"]
+def story_text(trace: RequestTrace) -> str:
+    """Return the trace of a request at one router as text."""
+    end, stream = trace.end(), trace.stream()
+    lines = [f"router log {trace.file}"]
     if end is None:
-        lines.append("  no end was written: the router ended, or the request is still under way")
+        lines.append("  no line at the end: the router ended, or the request is still in progress")
     else:
         arrived = end.time - datetime.timedelta(milliseconds=end.held_ms)
         lines.append(f"  arrived {arrived.isoformat(timespec='milliseconds')}")
         lines.append(f"  route {end.route}, service {end.service or 'none'}")
-        lines.append(f"  {_verdict(end)}")
+        lines.append(f"  {_outcome_text(end)}")
         lines += [f"  {row}" for row in _visit_table(end.visits).splitlines()]
     if stream is not None:
         parts = (
             ("placed", stream.placed_ms),
-            ("prompt read", stream.read_ms),
+            ("prefill finished", stream.read_ms),
             ("first event", stream.first_ms),
             ("longest pause", stream.gap_ms),
         )
-        told = (f"{name} {value} ms" for name, value in parts if value is not None)
-        lines.append("  stream: " + ", ".join(told))
-    reasons = [line.reason for line in story.lines if line.reason]
+        durations = (f"{name} {value} ms" for name, value in parts if value is not None)
+        lines.append("  stream: " + ", ".join(durations))
+    reasons = [line.reason for line in trace.lines if line.reason]
     lines += [f"  reason: {reason}" for reason in dict.fromkeys(reasons)]
     return "\n".join(lines)
 
 
-def _verdict(end: StoryLine) -> str:
+def _outcome_text(end: TraceLine) -> str:
     text = f"{end.outcome}"
     if end.status is not None:
         text += f" with {end.status}"
@@ -149,7 +151,7 @@
 
 def _visit_table(visits: list[BackendVisit]) -> str:
     if not visits:
-        return "asked no backend"
+        return "called no backend"
     rows = [
         (v.backend, v.zone or "-", v.role or "-", v.from_ms, v.held_ms, v.outcome) for v in visits
     ]
--- a/src/yokedock/process/role_balancer.py
+++ b/src/yokedock/process/role_balancer.py
@@ -1,4 +1,4 @@
-"""The leading router keeps the roles of each service's engines as the plan wants them."""
+"""Balances the roles of each service's engines: the leading router orders the planned changes."""
 
 from __future__ import annotations
 
@@ -22,23 +22,25 @@
 
 CHECK_S = 0.25
 SETTLED_S = 1.0
-"""Engines must have been listed unchanged for this long before roles are changed."""
-MISSING_READER_S = 8.0
-"""A lost prefill engine is replaced only after this long: most come back sooner."""
+"""How long the list of engines and roles must be unchanged before roles are changed."""
+PREFILL_REPLACEMENT_DELAY_S = 8.0
+"""Delay before a lost prefill engine is replaced: most return sooner."""
 CHANGE_MARGIN_S = 12.0
-"""A change that takes longer than the engine's own time by this is taken for lost."""
+"""A role change counts as failed if it exceeds the engine's configured switch time by this much."""
 ORDER_TIMEOUT_S = 1.0
-CHANGING_SHARE = 0.02
-"""Share of the engines that may change at once while answers are made, one at least: an engine is
-away for its own time to change."""
+MAX_CHANGING_SHARE = 0.02
+"""Share of the engines that may change roles simultaneously while streams are being generated, at
+least one: an engine is unavailable while it changes its role."""
 MOST_ORDERS = 16
-"""Orders given at once: the roles of a large fleet must be set before its first traffic."""
-FENCED = 412
+"""Maximum number of simultaneous orders. It is this high because the roles of a large fleet must be
+set before its first traffic."""
+FENCED_STATUS = 412
+"""HTTP status of an order that was rejected because its fencing token is too old."""
 FENCED_PAUSE_S = 10.0
 
 
 class RoleBalancer:
-    """Gives the orders of one router while it leads."""
+    """Sends role orders to engines while this router leads."""
 
     def __init__(
         self,
@@ -61,7 +63,7 @@
         self._paused_until_s = 0.0
 
     def changing(self) -> tuple[str, ...]:
-        """Return the engines that are changing their role by this router's order."""
+        """Return the engines whose role changes, ordered by this router, are in progress."""
         now_s = boot_time_s()
         for name, (role, until_s) in list(self._changing.items()):
             backend = self._registry.get(name)
@@ -72,47 +74,47 @@
         return names
 
     async def run(self, table: Callable[[], RouteTable | None]) -> None:
-        """Look at the roles at intervals, for ever."""
+        """Check the roles periodically, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_S)
             current = table()
             if current is None or boot_time_s() < self._paused_until_s:
                 continue
-            gone = self._settled_since.keys() - current.services.keys()
-            for name in gone:
+            removed = self._settled_since.keys() - current.services.keys()
+            for name in removed:
                 del self._settled_since[name]
             for service in current.services.values():
                 if service.engine is not None and self._token() is not None:
                     await self._balance(service)
 
     async def _balance(self, service: ServiceSpec) -> None:
-        """Give the orders for a service that may be given now."""
+        """Send the orders for a service that are allowed now."""
         engines = [b for b in self._registry.present(service.name) if b.entry.role]
         changing = self.changing()
-        most = self._most_orders(engines, sum(engine.name in changing for engine in engines))
-        if most <= 0:
+        max_changes = self._max_orders(engines, sum(engine.name in changing for engine in engines))
+        if max_changes <= 0:
             return
         settled_s = self._settled_s(service.name, engines)
         if settled_s < SETTLED_S:
             return
         roles = [self._role(engine) for engine in engines]
-        changes = planned_role_changes(roles, PREFILL_ROLE, DECODE_ROLE, most)
+        changes = planned_role_changes(roles, PREFILL_ROLE, DECODE_ROLE, max_changes)
         if not changes or changes[0].name in changing:
             return
-        if changes[0].role == PREFILL_ROLE and settled_s < MISSING_READER_S:
+        if changes[0].role == PREFILL_ROLE and settled_s < PREFILL_REPLACEMENT_DELAY_S:
             return
         assert service.engine is not None
         switch_s = service.engine.switch_s
         await asyncio.gather(*(self._order_change(change, switch_s) for change in changes))
 
-    def _most_orders(self, engines: list[Backend], changing: int) -> int:
-        """Return how many engines may be told to change now, beside those that are changing."""
+    def _max_orders(self, engines: list[Backend], changing: int) -> int:
+        """Return how many engines may be ordered to change now, besides those that are changing."""
         if self._is_idle(engines):
             return MOST_ORDERS
-        return min(MOST_ORDERS, max(1, round(CHANGING_SHARE * len(engines))) - changing)
+        return min(MOST_ORDERS, max(1, round(MAX_CHANGING_SHARE * len(engines))) - changing)
 
     def _is_idle(self, engines: list[Backend]) -> bool:
-        """Return whether nothing is being made."""
+        """Return whether no engine has a stream."""
         return all(self._ledger.streams(engine.name) == 0 for engine in engines)
 
     def _role(self, engine: Backend) -> EngineRole:
@@ -123,7 +125,7 @@
         return EngineRole(engine.name, role, load)
 
     def _settled_s(self, service: str, engines: list[Backend]) -> float:
-        """Return for how long the same engines have had the same roles, in seconds."""
+        """Return for how long the engines and their roles have been unchanged, in seconds."""
         now_s = boot_time_s()
         seen = frozenset((engine.name, engine.entry.role) for engine in engines)
         before, since_s = self._settled_since.get(service, (frozenset(), now_s))
@@ -150,22 +152,22 @@
         self._changing[backend.name] = (role, until_s)
         _log.info("role ordered", engine=backend.name, role=role, token=token)
         status = await self._send(backend, order)
-        _log.info("role order answered", engine=backend.name, role=role, status=status)
+        _log.info("role order completed", engine=backend.name, role=role, status=status)
         if status not in (200, 202, None):
             del self._changing[backend.name]
-        if status == FENCED:
+        if status == FENCED_STATUS:
             self._paused_until_s = boot_time_s() + FENCED_PAUSE_S
 
     async def _send(self, backend: Backend, order: EncodedOrder) -> int | None:
-        """Send an order once, on a new connection; None when its answer is not known."""
+        """Send an order once, on a new connection; return the status, None if it is unknown."""
         call = ShortCall(b"POST", order.target, tuple(order.headers), order.body)
         limits = CallLimits(ORDER_TIMEOUT_S, ORDER_TIMEOUT_S, longest_rest_s=0.0)
         try:
             sent_s = boot_time_s()
             answer = await short_call(self._pool, backend.entry.address, call, limits)
-            notes = self._dialect.answer_notes(answer.head)
+            notices = self._dialect.answer_notes(answer.head)
             now_s = boot_time_s()
-            backend.apply_notices(notes, now_s, answer.opened_ms, sent_s, answer.sent_ms)
+            backend.apply_notices(notices, now_s, answer.opened_ms, sent_s, answer.sent_ms)
             return answer.status
         except (BackendUnreachable, BackendBroken):
             return None
--- a/src/yokedock/process/router.py
+++ b/src/yokedock/process/router.py
@@ -1,4 +1,4 @@
-"""The router: takes callers' requests on routes and sees each through to one final answer."""
+"""The router: accepts callers' requests, routes them and returns one final response to each."""
 
 from __future__ import annotations
 
@@ -25,16 +25,16 @@
     NotFound,
     NotReady,
 )
-from yokedock.process.fleet_talk import FleetTalk, TalkingParts
+from yokedock.process.fleet_talk import GossipComponents, GossipHandler
 from yokedock.process.leadership import Leadership
-from yokedock.process.request_intake import RequestIntake, StopState
+from yokedock.process.request_intake import RequestHandler, StopState
 from yokedock.process.role_balancer import RoleBalancer
 from yokedock.process.router_metrics import RouterMetrics
 from yokedock.process.router_settings import RouterSettings
-from yokedock.process.router_upkeep import KeptTables, RouterUpkeep
+from yokedock.process.router_upkeep import MaintainedTables, RouterMaintenance
 from yokedock.process.state_exchange import STATE_PATH, StateExchange
 from yokedock.process.state_follower import StateFollower
-from yokedock.process.wake_watch import WakeWatch
+from yokedock.process.wake_watch import SuspensionMonitor
 from yokedock.process.watch_duty import WatchDuty
 from yokedock.request.backend_exchange import BackendExchanges
 from yokedock.request.backend_gossip import BackendGossip
@@ -58,17 +58,18 @@
 Accept = Callable[[asyncio.StreamReader, asyncio.StreamWriter], Awaitable[None]]
 
 METRICS_PATH = "/metrics"
-RESTART_S = 0.5
-"""A lasting task that failed goes on after this time, so that a fault that stays cannot spin."""
-LAST_CONNECTIONS_S = 2.5
-"""After this part of a planned stop the balancer sends no more connections."""
-LAST_ANSWERS_S = 0.8
-"""This long before the end of a planned stop, whoever still waits gets a final answer."""
+TASK_RESTART_DELAY_S = 0.5
+"""Delay before a background task that failed is restarted, so that a persistent error does not
+cause a busy loop."""
+CONNECTION_DRAIN_S = 2.5
+"""Time from the start of a graceful shutdown until the load balancer opens no more connections."""
+FINAL_ANSWERS_MARGIN_S = 0.8
+"""How long before the end of a graceful shutdown the requests still waiting get a final answer."""
 STOP_POLL_S = 0.05
 
 
 class Router:
-    """Wires one router together; ``run`` is its life."""
+    """Creates and connects the components of one router; ``run`` serves until it is stopped."""
 
     def __init__(
         self,
@@ -77,7 +78,10 @@
         dialect: Dialect,
         sockets: dict[str, socket.socket] | None = None,
     ) -> None:
-        """Prepare; nothing is bound yet but ``sockets``, which listen by address."""
+        """Create the components without binding any address.
+
+        ``sockets`` are already listening, by address.
+        """
         self._sockets = sockets or {}
         self.settings = settings
         mechanisms = settings.mechanisms
@@ -85,18 +89,23 @@
         own_address, _, port = settings.fleet.address.rpartition(":")
         limits = BackendLimits(own_address, lambda: self._gossip.fleet_size())
         self._registry = BackendRegistry(settings.process.zone, limits=limits)
-        talk = FleetTalk()
+        gossip_handler = GossipHandler()
         seeds = tuple(seed.rpartition(":")[0] for seed in settings.fleet.seeds)
         self._gossip = RouterGossip(
-            own_address, int(port), seeds, talk.state, talk.heard, talk.silent
+            own_address,
+            int(port),
+            seeds,
+            gossip_handler.own_state,
+            gossip_handler.apply_state,
+            gossip_handler.drop_state_of,
         )
-        duty = WatchDuty(own_address, talk.source_contacts)
-        self._follower = StateFollower(source, self._registry, duty)
+        watcher_selection = WatchDuty(own_address, gossip_handler.source_contacts)
+        self._follower = StateFollower(source, self._registry, watcher_selection)
         self._exchange = StateExchange(self._follower, int(port), self._gossip.alive)
         bounds = RetryBounds(
             settings.retries.ratio, settings.retries.window_s, settings.retries.allowance
         )
-        # Routers that fell silent may go on spending, and what they spent counts for a window.
+        # Includes silent routers: they may still be retrying, and their retries count for a window.
         fleet_size = self._gossip.known if mechanisms.retry_shares else lambda: 1
         allowance = RetryAllowance(bounds, fleet_size, settings.fleet.is_first_start)
         self._allowance = allowance
@@ -105,19 +114,19 @@
         self._shares = ConnectionShares(self._gossip.known)
         self._registry.connection_share = self._connection_share
         exchanges = BackendExchanges(self._pool, dialect, self._poison, self._shares)
-        self._queues_elsewhere = RemoteQueues(own_address)
+        self._remote_queues = RemoteQueues(own_address)
         placement = QueuedPlacement(
             self._registry,
             self._ledger,
-            self._queues_elsewhere.share,
+            self._remote_queues.share,
             mechanisms,
-            self._queues_elsewhere.turns,
+            self._remote_queues.turns,
         )
         self._placement = placement
         self._metrics = RouterMetrics()
         self._stop = StopState()
         lookup = CacheLookup(self._registry, self._pool, dialect)
-        self._intake = RequestIntake(
+        self._intake = RequestHandler(
             self._follower,
             dialect,
             GenerationCalls(
@@ -145,11 +154,11 @@
             self._ledger,
             self._pool,
             dialect,
-            talk.leading_token,
+            gossip_handler.fencing_token,
         )
         self._dialect = dialect
-        self._upkeep = RouterUpkeep(
-            KeptTables(
+        self._maintenance = RouterMaintenance(
+            MaintainedTables(
                 self._follower,
                 self._registry,
                 self._ledger,
@@ -162,8 +171,8 @@
                 self._metrics,
             )
         )
-        talk.join(
-            TalkingParts(
+        gossip_handler.attach(
+            GossipComponents(
                 settings.process.name,
                 self._gossip,
                 self._follower,
@@ -174,28 +183,28 @@
                 BackendGossip(self._registry),
                 self._ledger,
                 placement,
-                self._queues_elsewhere,
+                self._remote_queues,
                 self._poison,
                 self._stop,
             )
         )
-        self._wake = WakeWatch(self._pool)
-        self._pass_news_on()
+        self._wake = SuspensionMonitor(self._pool)
+        self._connect_change_callbacks()
 
-    def _pass_news_on(self) -> None:
-        """Have each part tell the others of its changes."""
+    def _connect_change_callbacks(self) -> None:
+        """Have the components report their changes to the other routers and to each other."""
         self._follower.on_news = self._gossip.change
         self._ledger.on_change = self._gossip.change
         self._poison.on_crash_detected = self._gossip.change
         self._registry.limits.on_change = self._gossip.change
         self._gossip.for_newcomers = self._poison.report_for_new_router
-        self._registry.on_change = self._backends_changed
-        self._registry.on_restart = self._life_ended
+        self._registry.on_change = self._on_backends_changed
+        self._registry.on_restart = self._on_backend_restart
 
-    # --- Life ---
+    # --- Lifecycle ---
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until ``stop`` is set, then make a planned stop."""
+        """Serve until ``stop`` is set, then shut down gracefully."""
         await self._gossip.start()
         callers = self.settings.callers
         servers = [
@@ -204,15 +213,15 @@
             await self._listen(self.settings.fleet.address, self._accept_router),
         ]
         self.is_listening = True
-        self._start_lasting("follower", self._follower.run)
-        self._start_lasting("gossip", self._gossip.run)
+        self._start_supervised("follower", self._follower.run)
+        self._start_supervised("gossip", self._gossip.run)
         if self.settings.mechanisms.role_changes:
-            self._start_lasting("roles", lambda: self._roles.run(self._table))
-        self._start_lasting("upkeep", self._upkeep.run)
-        self._start_lasting("wake", self._wake.run)
+            self._start_supervised("roles", lambda: self._roles.run(self._table))
+        self._start_supervised("upkeep", self._maintenance.run)
+        self._start_supervised("wake", self._wake.run)
         _log.info("started", name=self.settings.process.name, listen=callers.listen)
         await stop.wait()
-        await self._stop_in_order()
+        await self._shut_down()
         for server in servers:
             server.close()
         self._exchange.stop()
@@ -222,32 +231,34 @@
 
     @property
     def position(self) -> SourcePosition:
-        """Return how far the state is known."""
+        """Return the position of the source that the known state corresponds to."""
         return self._follower.position
 
     @property
     def version(self) -> int:
-        """Return the version of the route table in force, 0 if none is known."""
+        """Return the version of the current route table, 0 if none is known."""
         return self._follower.version
 
     @property
     def is_ready(self) -> bool:
-        """Return whether new connections are welcome."""
+        """Return whether this router accepts new connections."""
         return self._follower.is_known and not self._stop.is_stopping
 
-    async def _stop_in_order(self) -> None:
-        """Let what is in flight end; who still waits near the end gets a final answer."""
+    async def _shut_down(self) -> None:
+        """Complete the requests in flight; those still waiting near the end get a final answer."""
         self._stop.is_stopping, self._stop.since_s = True, boot_time_s()
         self._leadership.resign()
         self._gossip.change()
-        self._stop.last_answers_s = boot_time_s() + self.settings.stop.grace_s - LAST_ANSWERS_S
+        self._stop.final_answers_s = (
+            boot_time_s() + self.settings.stop.grace_s - FINAL_ANSWERS_MARGIN_S
+        )
         _log.info("stopping", active=self._intake.active, connections=len(self._connections))
         for connection in self._connections:
             connection.is_closing = True
-        await asyncio.sleep(LAST_CONNECTIONS_S)
+        await asyncio.sleep(CONNECTION_DRAIN_S)
         for connection in list(self._connections):
             connection.close_if_idle()
-        while self._intake.active and boot_time_s() < self._stop.last_answers_s:
+        while self._intake.active and boot_time_s() < self._stop.final_answers_s:
             await asyncio.sleep(STOP_POLL_S)
         self._stop.is_ending = True
         for connection in list(self._connections):
@@ -258,28 +269,28 @@
         await asyncio.sleep(0)
         self._gossip.tell_last()
 
-    def _start_lasting(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
-        """Start work that never ends; an error that nobody expected ends only one round of it."""
+    def _start_supervised(self, name: str, work: Callable[[], Awaitable[None]]) -> None:
+        """Start a background task that is restarted after an unexpected error."""
 
         async def run() -> None:
             while True:
                 try:
                     await work()
                 except Exception:
-                    _log.exception("task failed", task=name)
-                await asyncio.sleep(RESTART_S)
+                    _log.exception("background task failed; restarting it", task=name)
+                await asyncio.sleep(TASK_RESTART_DELAY_S)
 
         self._start(run())
 
     def _start(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            _log.error("task ended", error=repr(task.exception()))
+            _log.error("background task ended with an error", error=repr(task.exception()))
 
     # --- Listening ---
 
@@ -318,7 +329,7 @@
         return index.table if index is not None else None
 
     def _connection_share(self, service: str) -> float:
-        """Return how many connections this router may have to a backend of ``service``."""
+        """Return how many connections this router may open to a backend of ``service``."""
         table = self._table()
         spec = table.services.get(service) if table is not None else None
         return math.inf if spec is None else self._shares.most(spec)
@@ -332,29 +343,29 @@
         await answer.whole(*whole_answer(status, b""))
 
     async def _answer_router(self, request: CallerRequest, answer: AnswerWriter) -> None:
-        """Give another router what this one knows, or an operator its figures."""
+        """Serve this router's state to another router, or its metrics to an operator."""
         if request.head.path == STATE_PATH:
             body = self._exchange.answer(request.head.query)
         elif request.head.path == METRICS_PATH:
-            body = await self._metrics.text(self._levels())
+            body = await self._metrics.text(self._gauges())
         else:
-            message = f"there is no {request.head.path}; ask for {STATE_PATH} or {METRICS_PATH}"
+            message = f"unknown path {request.head.path}; use {STATE_PATH} or {METRICS_PATH}"
             raise NotFound(message)
         await answer.whole(*whole_answer(200, body))
 
-    def _levels(self) -> dict[str, float]:
-        """Return what operators see of this moment."""
+    def _gauges(self) -> dict[str, float]:
+        """Return the current values of all gauges."""
         return {
             "active": self._intake.active,
             "connections": len(self._connections),
             "waiting_in_time": self._placement.waiting_in_time(),
             "routers_known": self._gossip.known(),
             "routers_heard": self._gossip.fleet_size(),
-            "routers_behind": self._exchange.behind(),
+            "routers_behind": self._exchange.behind_count(),
             "table_version": self._follower.version,
             "state_era": self._follower.position.era,
             "state_position": self._follower.position.revision,
-            "state_reads_not_taken": self._follower.reads_not_taken,
+            "state_reads_not_taken": self._follower.reads_ignored,
             "state_undecoded": self._follower.undecoded,
             "state_silent_s": self._follower.silent_s(),
             "state_age_s": self._follower.age_s(),
@@ -365,14 +376,17 @@
             **self._poison.levels(),
             **self._registry.levels(),
             **self._wake.levels(),
-            **self._upkeep.sizes(),
+            **self._maintenance.sizes(),
         }
 
     # --- Backends ---
 
-    def _backends_changed(self) -> None:
+    def _on_backends_changed(self) -> None:
         self._ledger.on_capacity_freed()
 
-    def _life_ended(self, backend: Backend) -> None:
-        """Drop what rests at a backend that has started anew; the rest hangs on its life's name."""
+    def _on_backend_restart(self, backend: Backend) -> None:
+        """Close the idle connections to a backend that has restarted.
+
+        All other state is kept by incarnation.
+        """
         self._pool.forget(backend.entry.address)
--- a/src/yokedock/process/router_main.py
+++ b/src/yokedock/process/router_main.py
@@ -1,4 +1,4 @@
-"""The thin daemon around a router: signals, logs, the event loop."""
+"""Runs a router as a daemon with signal handlers, logging and an event loop."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
     dialect: Dialect,
     sockets: dict[str, socket.socket] | None = None,
 ) -> None:
-    """Serve until SIGTERM or SIGINT. SIGHUP is noted: addresses do not change while it runs.
+    """Serve until SIGTERM or SIGINT. SIGHUP is only logged, as settings are not reloaded.
 
-    ``sockets`` listen already, by address.
+    ``sockets`` are already listening, by address.
     """
     set_up_logs(settings.log.level, sys.stdout, settings.log.lines_per_s)
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
@@ -39,14 +39,16 @@
     loop.set_exception_handler(_log_unhandled)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
-    loop.add_signal_handler(signal.SIGHUP, lambda: _log.info("settings may have changed"))
+    loop.add_signal_handler(
+        signal.SIGHUP, lambda: _log.info("SIGHUP received; settings are not reloaded")
+    )
     await router.run(stop)
-    # The loop gives the signal its default action back when it is closed: it would end the process
-    # as though it had failed.
+    # Closing the loop restores the default action of SIGHUP, which would terminate the process with
+    # a failure status.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 def _log_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log what no task has caught, as one line like all others."""
+    """Log an unhandled exception as one structured line."""
     error = context.get("exception")
     _log.error("unhandled", message=context.get("message"), error=repr(error))
--- a/src/yokedock/process/router_metrics.py
+++ b/src/yokedock/process/router_metrics.py
@@ -1,10 +1,10 @@
-"""Counters and latency histograms of a router, by route, as text for operators.
+"""Counters and latency histograms of a router, by route, in a text format.
 
-Values are kept as plain numbers first and folded into histograms by the upkeep task, never behind a
-request: loading the library takes longer than a request may wait.
+Values are buffered as plain numbers, and folded into histograms by the maintenance task instead of
+while a request is served: importing the library takes longer than a request may be delayed.
 
-The histograms are DDSketches, not HdrHistograms: a page of those for a thousand routes, in pure
-Python, would block the router for seconds and take ten times the memory.
+The histograms are DDSketches, not HdrHistograms: a page of the latter for a thousand routes, in
+pure Python, would block the router for seconds and take ten times the memory.
 """
 
 from __future__ import annotations
@@ -20,33 +20,34 @@
     from ddsketch import LogCollapsingLowestDenseDDSketch
 
 MOST_KEPT = 8192
-"""Values that are kept before they are folded; more are dropped and counted. 0.9 MB at most."""
-LOAD_FROM = 1024
-"""The library is loaded once so many values wait: a start after a failure is not held up."""
-FOLDED_AT_ONCE = 500
-"""Values folded without letting other work run: 0.9 ms on a 2 GHz core."""
-LINES_AT_ONCE = 100
-"""Lines of a page made without letting other work run: 0.6 ms on a 2 GHz core."""
+"""Maximum number of buffered values, 0.9 MB; further ones are dropped and counted."""
+LIBRARY_LOAD_THRESHOLD = 1024
+"""The library is imported once this many values are buffered, so that the import does not delay a
+start after a failure."""
+FOLD_BATCH_SIZE = 500
+"""Values folded without yielding to the event loop: 0.9 ms on a 2 GHz core."""
+LINES_PER_BATCH = 100
+"""Lines of a page generated without yielding to the event loop: 0.6 ms on a 2 GHz core."""
 MOST_ROUTES = 1000
-"""Routes that are told apart; others are counted together."""
+"""Maximum number of routes with separate metrics; further ones are counted together."""
 NO_ROUTE = "none"
-"""Stands for requests that no route matched."""
+"""Label of requests that no route matched."""
 GONE_ROUTES = "gone"
-"""Stands for routes that the configuration no longer has: their outcomes are summed, their
+"""Label of routes that were removed from the configuration: their outcomes are summed, their
 latencies dropped."""
 OTHER_ROUTES = "other"
-"""Stands for routes beyond ``MOST_ROUTES``."""
-SUMMED = frozenset({NO_ROUTE, GONE_ROUTES, OTHER_ROUTES})
+"""Label of routes beyond ``MOST_ROUTES``."""
+AGGREGATE_LABELS = frozenset({NO_ROUTE, GONE_ROUTES, OTHER_ROUTES})
 RELATIVE_ERROR = 0.02
-"""How far a percentile may be from the true one, as a share of it."""
-MOST_BINS = 1024
-"""Bins of one histogram: enough for 1 us to 10 days at that error."""
+"""Maximum relative error of a quantile."""
+MAX_BINS = 1024
+"""Bins of one histogram: enough for 1 µs to 10 days at that error."""
 QUANTILES = (0.5, 0.95, 0.99)
 MS_PER_SECOND = 1000
 
 
 class RouterMetrics:
-    """Counts outcomes and records latencies; ``text`` tells them."""
+    """Counts outcomes and records latencies; ``text`` exports them."""
 
     def __init__(self) -> None:
         """Start at zero."""
@@ -54,10 +55,10 @@
         self._outcomes: dict[str, collections.Counter[str]] = {}
         self._late: collections.Counter[tuple[str, str, str]] = collections.Counter()
         """Late answers by service, route and the backend's zone."""
-        self._kept: collections.deque[tuple[str, str, float]] = collections.deque()
+        self._buffer: collections.deque[tuple[str, str, float]] = collections.deque()
         self._dropped = 0
         self._histograms: dict[tuple[str, str], LogCollapsingLowestDenseDDSketch] = {}
-        self._is_loaded = False
+        self._is_library_loaded = False
 
     def count(self, route: str, outcome: str) -> None:
         """Count one request of a route by its outcome."""
@@ -65,52 +66,52 @@
         self._outcomes.setdefault(label, collections.Counter())[outcome] += 1
 
     def count_late(self, service: str, route: str, zone: str) -> None:
-        """Count an answer that came later than its route's targets."""
+        """Count an answer that missed its route's latency targets."""
         self._late[service, self._label(route), zone] += 1
 
     def record(self, route: str, measure: str, seconds: float) -> None:
         """Record a duration of a route."""
-        if len(self._kept) >= MOST_KEPT:
+        if len(self._buffer) >= MOST_KEPT:
             self._dropped += 1
             return
-        self._kept.append((self._label(route), measure, seconds))
+        self._buffer.append((self._label(route), measure, seconds))
 
     def keep_only(self, routes: Collection[str]) -> None:
-        """Forget what was recorded of all other routes: they are gone."""
-        kept = SUMMED.union(routes)
+        """Drop the latencies of all other routes, which were removed, and sum up their counts."""
+        kept = AGGREGATE_LABELS.union(routes)
         for route in self._outcomes.keys() - kept:
-            gone = self._outcomes.setdefault(GONE_ROUTES, collections.Counter())
-            gone.update(self._outcomes.pop(route))
+            removed = self._outcomes.setdefault(GONE_ROUTES, collections.Counter())
+            removed.update(self._outcomes.pop(route))
         for service, route, zone in [key for key in self._late if key[1] not in kept]:
             self._late[GONE_ROUTES, GONE_ROUTES, zone] += self._late.pop((service, route, zone))
         for key in [key for key in self._histograms if key[0] not in kept]:
             del self._histograms[key]
 
     def fold_some(self) -> bool:
-        """Put some of what is kept into histograms; return whether more should be folded now."""
-        if not self._is_loaded and len(self._kept) < LOAD_FROM:
+        """Fold a batch of buffered values into histograms; return whether more remain."""
+        if not self._is_library_loaded and len(self._buffer) < LIBRARY_LOAD_THRESHOLD:
             return False
         self.guard.run("fold", self._fold)
-        return bool(self._kept)
+        return bool(self._buffer)
 
     async def text(self, levels: dict[str, float]) -> bytes:
-        """Return everything as lines ``name{labels} value``; ``levels`` are of this moment.
+        """Return all metrics as lines ``name{labels} value``, with the gauges ``levels``.
 
-        Durations are in milliseconds. What cannot be told is left out and counted among the
-        failures. Other work runs in between.
+        Durations are in milliseconds. Values that cannot be folded are left out and counted as
+        failures. Yields to the event loop repeatedly.
         """
-        while self._kept:
+        while self._buffer:
             self.guard.run("fold", self._fold)
             await asyncio.sleep(0)
         lines = [f"router_{name} {value:g}" for name, value in sorted(levels.items())]
         for line in self._lines():
             lines.append(line)
-            if len(lines) % LINES_AT_ONCE == 0:
+            if len(lines) % LINES_PER_BATCH == 0:
                 await asyncio.sleep(0)
         return ("\n".join(lines) + "\n").encode()
 
     def sizes(self) -> dict[str, int]:
-        """Return how many rows the tables of this part hold."""
+        """Return the number of rows in each table of this component."""
         return {
             "outcome_routes": len(self._outcomes),
             "histograms": len(self._histograms),
@@ -118,8 +119,12 @@
         }
 
     def _label(self, route: str) -> str:
-        """Return the name under which a route is counted."""
-        if route in self._outcomes or route in SUMMED or len(self._outcomes) < MOST_ROUTES:
+        """Return the label under which a route is counted."""
+        if (
+            route in self._outcomes
+            or route in AGGREGATE_LABELS
+            or len(self._outcomes) < MOST_ROUTES
+        ):
             return route
         return OTHER_ROUTES
 
@@ -141,20 +146,21 @@
             yield f'router_telemetry_failures{{kind="{kind}"}} {count}'
 
     def _fold(self) -> None:
-        """Put the oldest values into histograms; they are dropped if that fails.
+        """Fold the oldest values into histograms; they are dropped if that fails.
 
-        Those of routes that are gone are dropped too: a request is counted before it is recorded.
+        Values of removed routes are dropped too. They are recognized by having no counts: a request
+        is always counted before its duration is recorded.
         """
-        count = min(FOLDED_AT_ONCE, len(self._kept))
-        values = [self._kept.popleft() for _ in range(count)]
+        count = min(FOLD_BATCH_SIZE, len(self._buffer))
+        values = [self._buffer.popleft() for _ in range(count)]
         from ddsketch import LogCollapsingLowestDenseDDSketch
 
-        self._is_loaded = True
+        self._is_library_loaded = True
         for route, measure, seconds in values:
             if route not in self._outcomes:
                 continue
             histogram = self._histograms.get((route, measure))
             if histogram is None:
-                histogram = LogCollapsingLowestDenseDDSketch(RELATIVE_ERROR, MOST_BINS)
+                histogram = LogCollapsingLowestDenseDDSketch(RELATIVE_ERROR, MAX_BINS)
                 self._histograms[route, measure] = histogram
             histogram.add(seconds)
--- a/src/yokedock/process/router_settings.py
+++ b/src/yokedock/process/router_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the router: one INI file, one frozen class a concern, checked whole at start."""
+"""Settings of the router: an INI file with a frozen dataclass per section, validated at start."""
 
 from __future__ import annotations
 
@@ -14,60 +14,66 @@
 
 @dataclasses.dataclass(frozen=True)
 class RouterProcessSettings:
-    """Who the process is and where it stands."""
+    """Identity and location of the process."""
 
     name: str = option("name, unique in the deployment")
-    zone: str = option("zone it stands in", "")
+    zone: str = option("zone it runs in", "")
 
 
 @dataclasses.dataclass(frozen=True)
 class RouterCallerSettings:
-    """Where callers and the balancer reach the router."""
+    """Addresses for callers and for the load balancer."""
 
     listen: str = option("address for callers, IP:port", check=address)
-    ready_listen: str = option("address that tells readiness, IP:port", check=address)
+    ready_listen: str = option("address of the readiness check, IP:port", check=address)
 
 
 @dataclasses.dataclass(frozen=True)
 class FleetSettings:
     """How routers reach each other."""
 
-    address: str = option("this router's own IP number and its port for others", check=address)
+    address: str = option(
+        "this router's own IP address and its port for other routers", check=address
+    )
     seeds: tuple[str, ...] = option("IP:port of some routers; the port is not used", ())
-    lease_s: float = option("no two routers lead within this time, s", 3.0, between(0.1, 600))
-    is_first_start: bool = option("the whole system starts for the first time", False)
+    lease_s: float = option(
+        "minimum time between the terms of two leaders, s", 3.0, between(0.1, 600)
+    )
+    is_first_start: bool = option("whether the whole system starts for the first time", False)
 
 
 @dataclasses.dataclass(frozen=True)
 class StateSettings:
-    """Where routes and backends are read."""
+    """Source of routes and backends."""
 
-    source: str = option("address of the state's source, IP:port, or a routes file")
+    source: str = option("address of the state source, IP:port, or a routes file")
 
 
 @dataclasses.dataclass(frozen=True)
 class RetrySettings:
     """The fleet's retry budget: extra arrivals <= ratio * requests + allowance in any window."""
 
-    ratio: float = option("extra arrivals for each request", 0.2, between(0, 10))
+    ratio: float = option("extra arrivals per request", 0.2, between(0, 10))
     window_s: float = option("length of the window, s", 10.0, between(0.1, 3600))
-    allowance: float = option("extra arrivals in any window", 50.0, between(0, 1_000_000))
+    allowance: float = option(
+        "additional extra arrivals in any window", 50.0, between(0, 1_000_000)
+    )
 
 
 @dataclasses.dataclass(frozen=True)
 class StopSettings:
-    """How a planned stop goes."""
+    """Graceful shutdown."""
 
     grace_s: float = option("time from SIGTERM to SIGKILL, s", 8.0, between(0.5, 3600))
 
 
 @dataclasses.dataclass(frozen=True)
 class RouterLogSettings:
-    """Logs, as JSON lines on standard output."""
+    """Logging, as JSON lines to standard output."""
 
-    level: str = option("lowest level", "info", one_of("debug", "info", "warning", "error"))
+    level: str = option("minimum level", "info", one_of("debug", "info", "warning", "error"))
     lines_per_s: float = option(
-        "most lines in a second; others are counted", 200.0, between(1, 1e6)
+        "maximum lines per second; further ones are only counted", 200.0, between(1, 1e6)
     )
 
 
@@ -99,7 +105,7 @@
 
 
 def read_router_settings(path: Path) -> RouterSettings:
-    """Read and check a settings file; raises ``SettingsInvalid`` that lists every error."""
+    """Read and validate a settings file; raises ``SettingsInvalid`` with all errors."""
     problems = Problems()
     parser = read_ini(path, problems)
     sections: dict[str, Any] = {}
--- a/src/yokedock/process/router_upkeep.py
+++ b/src/yokedock/process/router_upkeep.py
@@ -1,7 +1,7 @@
-"""The upkeep of a router: once a second every table drops what nobody needs any more.
+"""Periodic maintenance of a router: removes entries that are no longer needed from all tables.
 
-What a router keeps may depend on what lives now, never on how long it has run. The sizes of all
-tables stand on the metrics page.
+The memory that a router uses may depend on the current backends, routers and routes, but never on
+how long it has run. The sizes of all tables are exported as metrics.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from yokedock.request.poison_requests import PoisonRequests
 from yokedock.request.retry_allowance import RetryAllowance
 
-UPKEEP_S = 1.0
+MAINTENANCE_INTERVAL_S = 1.0
 
 
-class KeptTables(msgspec.Struct, frozen=True):
-    """The parts of a router that keep something by engine, router, service or route."""
+class MaintainedTables(msgspec.Struct, frozen=True):
+    """The components of a router that have tables by engine, router, service or route."""
 
     follower: StateFollower
     registry: BackendRegistry
@@ -41,26 +41,26 @@
     metrics: RouterMetrics
 
 
-class RouterUpkeep:
-    """Tidies the tables of one router; ``run`` is its task."""
+class RouterMaintenance:
+    """Cleans up the tables of one router; ``run`` is its task."""
 
-    def __init__(self, tables: KeptTables) -> None:
-        """Look after ``tables``."""
+    def __init__(self, tables: MaintainedTables) -> None:
+        """Maintain ``tables``."""
         self._tables = tables
-        self._metrics_version = 0
+        self._cleaned_table_version = 0
 
     async def run(self) -> None:
-        """Tidy at intervals, for ever."""
+        """Clean up periodically, until cancelled."""
         metrics = self._tables.metrics
         while True:
-            await asyncio.sleep(UPKEEP_S)
-            for tidy in self._chores():
-                metrics.guard.run("upkeep", tidy)
+            await asyncio.sleep(MAINTENANCE_INTERVAL_S)
+            for cleanup in self._cleanups():
+                metrics.guard.run("upkeep", cleanup)
             while metrics.fold_some():
                 await asyncio.sleep(0)
 
     def sizes(self) -> dict[str, float]:
-        """Return how much each table holds."""
+        """Return the size of each table."""
         tables = self._tables
         sizes = {
             "backends": len(tables.registry.names()),
@@ -78,23 +78,23 @@
         }
         return {f"table_{name}": float(size) for name, size in sizes.items()}
 
-    def _chores(self) -> tuple[Callable[[], None], ...]:
+    def _cleanups(self) -> tuple[Callable[[], None], ...]:
         tables = self._tables
         return (
             tables.pool.drop_stale,
-            self._close_beyond_share,
+            self._close_excess_connections,
             tables.registry.drop_expired_backends,
-            self._drop_gone_engines,
+            self._drop_removed_engines,
             tables.ledger.drop_expired,
             tables.lookup.drop_stale,
             tables.allowance.drop_old,
             tables.poison.drop_old,
             tables.leadership.drop_old_votes,
-            self._drop_gone_routes,
+            self._drop_removed_routes,
         )
 
-    def _close_beyond_share(self) -> None:
-        """Close what rests beyond this router's share: that shrinks as others join."""
+    def _close_excess_connections(self) -> None:
+        """Close idle connections beyond this router's share, which shrinks as others join."""
         registry = self._tables.registry
         for backend in registry.lives():
             most = registry.connection_share(backend.entry.service)
@@ -103,12 +103,12 @@
                     backend.entry.address, int(most) - backend.outstanding
                 )
 
-    def _drop_gone_engines(self) -> None:
+    def _drop_removed_engines(self) -> None:
         self._tables.ledger.pace.keep_only(self._tables.registry.names())
 
-    def _drop_gone_routes(self) -> None:
+    def _drop_removed_routes(self) -> None:
         index = self._tables.follower.index
-        if index is None or index.table.version == self._metrics_version:
+        if index is None or index.table.version == self._cleaned_table_version:
             return
-        self._metrics_version = index.table.version
+        self._cleaned_table_version = index.table.version
         self._tables.metrics.keep_only({route.name for route in index.table.routes})
--- a/src/yokedock/process/state_exchange.py
+++ b/src/yokedock/process/state_exchange.py
@@ -1,8 +1,8 @@
-"""Routers take over newer state from each other: packed, and only what the asker does not know.
+"""Exchanges state between routers, compressed and without a table that the receiver already has.
 
-The state's source sends every version whole. Another router sends a table in a twentieth of that,
-from whoever has a wider link or a source that answers: a narrow link carries it in a tenth of a
-second instead of two.
+The state source sends every version in full. Another router, which may have a faster link or a
+source that responds, sends a table in a twentieth of that size: a slow link transfers it in 0.1 s
+instead of 2 s.
 """
 
 from __future__ import annotations
@@ -24,81 +24,84 @@
 from yokedock.connection.source_position import SourcePosition
 from yokedock.connection.state_source import BackendEntry, StateSnapshot
 from yokedock.errors import BadRequest
-from yokedock.process.state_follower import GATHER_S, StateFollower
+from yokedock.process.state_follower import CHANGE_BATCHING_S, StateFollower
 from yokedock.router_errors import BackendBroken, BackendUnreachable
 from yokedock.version.route_table import RouteTable
 
 _log = logger("exchange")
 
 STATE_PATH = "/state"
-VERSION_FIELD = "version"
+VERSION_PARAMETER = "version"
 CONNECT_TIMEOUT_S = 0.5
 HEAD_TIMEOUT_S = 1.0
-"""One round trip between zones is 3 ms; a busy weak core answers within some hundred ms."""
-FIRST_LIMIT_S = 2.0
-"""Time that the first router asked has for its whole answer. Each further one has twice that of the
-one before: a router that hardly flows is left soon, and an own link that hardly flows gets an
-answer in the end."""
-SHORTEST_WAIT_S = GATHER_S
-LONGEST_WAIT_S = GATHER_S + 0.1
-"""A router that is behind waits so long for its own source, which tells all routers within the time
-in which they gather changes. The spread keeps a fleet from asking at the same moment."""
+"""The round trip between zones takes 3 ms; a slow, busy core responds within a few hundred ms."""
+FIRST_FETCH_LIMIT_S = 2.0
+"""Time limit for the complete response of the first router that is asked. The limit doubles with
+each further one: a router with a slow link is abandoned soon, while a router whose own link is slow
+gets a response eventually."""
+MIN_SOURCE_WAIT_S = CHANGE_BATCHING_S
+MAX_SOURCE_WAIT_S = CHANGE_BATCHING_S + 0.1
+"""How long a router that is behind waits for its own source before it asks another router: the
+source reaches all routers within the interval in which they batch changes. The random spread keeps
+the routers of a fleet from asking simultaneously."""
 RETRY_S = 0.1
-"""Pause before another router is asked."""
+"""Delay before another router is asked."""
 OK = 200
 MAX_DIGITS = 18
-"""Versions are below 2**63."""
-MOST_TABLE_BYTES = 16_777_216
-"""Bound of an unpacked table, many times the largest that is known."""
-FASTEST = 1
-"""Level of zlib: the event loop stands still meanwhile, and the others save hardly a byte."""
+"""Maximum length of a version number: versions are below 2**63."""
+MAX_TABLE_BYTES = 16_777_216
+"""Maximum size of a decompressed table, many times that of the largest known one."""
+COMPRESSION_LEVEL = 1
+"""Fastest level of zlib: compression blocks the event loop, and higher levels save little."""
 
 
 class PackedState(msgspec.Struct, array_like=True):
-    """What a router answers another one that asks for its state."""
+    """A router's response to another one that requests its state."""
 
     position: int
     backends: dict[str, BackendEntry]
     packed_table: bytes = b""
-    """The route table in MessagePack, packed by zlib; empty if the asker knows it."""
+    """The route table in MessagePack, compressed by zlib; empty if the requester has it."""
     era: int = 0
-    """Of the source, at ``position``; 0 from a router that sends no era."""
+    """Era of the source at ``position``; 0 from a router that does not send eras."""
 
 
 class StateMark(msgspec.Struct, frozen=True):
-    """How far a state goes."""
+    """Table version and source position that a state has reached."""
 
     version: int
     position: SourcePosition
 
     def is_reached_by(self, other: StateMark) -> bool:
-        """Return whether ``other`` goes at least as far."""
+        """Return whether ``other`` is at least as new in both."""
         return other.version >= self.version and other.position >= self.position
 
 
 class StateExchange:
-    """Gives other routers this one's state and fetches theirs when they are ahead."""
+    """Serves this router's state to other routers, and fetches theirs if it is newer."""
 
     def __init__(
         self, follower: StateFollower, port: int, alive: Callable[[], list[OtherRouter]]
     ) -> None:
-        """``alive`` returns the routers heard a moment ago; all listen on ``port``."""
+        """``alive`` returns the live routers, which all listen on ``port``."""
         self._follower = follower
         self._port = port
         self._alive = alive
         self._pool = BackendPool()
         self._random = new_random()
         self._packed = (0, b"")
-        """The newest version that was asked for, and its packed table."""
+        """Version and compressed table of the last response that contained a table."""
         self._task: asyncio.Task[None] | None = None
 
-    # --- Giving ---
+    # --- Serving ---
 
     def answer(self, query: str) -> bytes:
-        """Return the state for a router that asked with ``query``; raises ``BadRequest``."""
-        asked = parse_qs(query).get(VERSION_FIELD, ["0"])[0]
+        """Return the state for a router's request with ``query``; raises ``BadRequest``."""
+        asked = parse_qs(query).get(VERSION_PARAMETER, ["0"])[0]
         if not asked.isdecimal() or len(asked) > MAX_DIGITS:
-            raise BadRequest(f"{VERSION_FIELD} is no version; send a whole number")
+            raise BadRequest(
+                f"{VERSION_PARAMETER} is not a valid version; send a non-negative integer"
+            )
         known = self._follower.snapshot()
         packed = b""
         if known.table is not None and known.table.version > int(asked):
@@ -109,37 +112,40 @@
 
     def _pack(self, table: RouteTable) -> bytes:
         if self._packed[0] != table.version:
-            self._packed = table.version, zlib.compress(msgspec.msgpack.encode(table), FASTEST)
+            self._packed = (
+                table.version,
+                zlib.compress(msgspec.msgpack.encode(table), COMPRESSION_LEVEL),
+            )
         return self._packed[1]
 
-    def behind(self) -> int:
-        """Return how many routers heard a moment ago serve by an older version than this one."""
+    def behind_count(self) -> int:
+        """Return how many live routers use an older version of the table than this one."""
         states = [other.state for other in self._alive() if other.state is not None]
         return sum(state.table_version < self._follower.version for state in states)
 
     # --- Fetching ---
 
-    def heard(self, state: RouterState) -> None:
-        """Catch up with the routers that are ahead if this one is, unless that is under way."""
+    def on_router_state(self, state: RouterState) -> None:
+        """Start to catch up if another router's ``state`` is newer, unless already in progress."""
         if self._task is None and not _mark_of(state).is_reached_by(self._mark()):
             self._task = asyncio.create_task(self._catch_up())
-            self._task.add_done_callback(self._done)
+            self._task.add_done_callback(self._on_task_done)
 
     def stop(self) -> None:
-        """Fetch no more."""
+        """Stop fetching."""
         if self._task is not None:
             self._task.cancel()
 
-    def _done(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._task = None
         if not task.cancelled() and task.exception() is not None:
-            _log.error("task ended", error=repr(task.exception()))
+            _log.error("state exchange ended with an error", error=repr(task.exception()))
 
     def _mark(self) -> StateMark:
         return StateMark(self._follower.version, self._follower.position)
 
-    def _ahead_of(self, mark: StateMark) -> list[OtherRouter]:
-        """Return the routers that know something that a state up to ``mark`` lacks."""
+    def _routers_ahead_of(self, mark: StateMark) -> list[OtherRouter]:
+        """Return the live routers whose state is newer than ``mark``."""
         return [
             other
             for other in self._alive()
@@ -147,24 +153,24 @@
         ]
 
     async def _catch_up(self) -> None:
-        """Fetch from routers that are ahead of what is known now, until it is reached."""
+        """Fetch from routers that are ahead until this router's state advances."""
         seen = self._mark()
         if self._follower.is_known:
-            await asyncio.sleep(self._random.uniform(SHORTEST_WAIT_S, LONGEST_WAIT_S))
+            await asyncio.sleep(self._random.uniform(MIN_SOURCE_WAIT_S, MAX_SOURCE_WAIT_S))
         asked: set[str] = set()
-        limit_s = FIRST_LIMIT_S
-        while seen == self._mark() and (ahead := self._ahead_of(seen)):
+        limit_s = FIRST_FETCH_LIMIT_S
+        while seen == self._mark() and (ahead := self._routers_ahead_of(seen)):
             fresh = [other for other in ahead if other.address not in asked]
             chosen = self._random.choice(fresh or ahead)
             asked.add(chosen.address)
             await self._fetch_from(chosen.address, limit_s)
             limit_s = min(2 * limit_s, DOCUMENT_PROGRESS.longest_s)
-            # Also after an answer: it may hold less than the other router's datagrams told.
+            # Also after a response, which may be older than the state announced by datagram.
             await asyncio.sleep(RETRY_S)
 
     async def _fetch_from(self, address: str, limit_s: float) -> None:
-        """Take over the state of another router, if it can be had within ``limit_s``."""
-        target = f"{STATE_PATH}?{VERSION_FIELD}={self._follower.version}"
+        """Adopt the state of another router if it can be fetched within ``limit_s``."""
+        target = f"{STATE_PATH}?{VERSION_PARAMETER}={self._follower.version}"
         peer = f"{address}:{self._port}"
         limits = CallLimits(
             CONNECT_TIMEOUT_S,
@@ -175,7 +181,7 @@
         try:
             answer = await short_call(self._pool, peer, ShortCall(b"GET", target.encode()), limits)
             if answer.status != OK:
-                raise BackendBroken(f"{peer} answered {answer.status}")
+                raise BackendBroken(f"{peer} responded with status {answer.status}")
             snapshot = unpack(answer.body)
         except (BackendUnreachable, BackendBroken, msgspec.MsgspecError, zlib.error) as error:
             _log.info("state not taken over", router=address, reason=str(error))
@@ -198,13 +204,13 @@
 
 
 def unpack(body: bytes) -> StateSnapshot:
-    """Return the state that another router gave; raises ``MsgspecError`` or ``zlib.error``."""
+    """Decode the state sent by a router; raises ``MsgspecError`` or ``zlib.error``."""
     packed = msgspec.msgpack.decode(body, type=PackedState)
     table = None
     if packed.packed_table:
-        unpacker = zlib.decompressobj()
-        encoded = unpacker.decompress(packed.packed_table, MOST_TABLE_BYTES)
-        if unpacker.unconsumed_tail:
-            raise zlib.error(f"the table has over {MOST_TABLE_BYTES} bytes unpacked")
+        decompressor = zlib.decompressobj()
+        encoded = decompressor.decompress(packed.packed_table, MAX_TABLE_BYTES)
+        if decompressor.unconsumed_tail:
+            raise zlib.error(f"the decompressed table exceeds {MAX_TABLE_BYTES} bytes")
         table = msgspec.msgpack.decode(encoded, type=RouteTable)
     return StateSnapshot(SourcePosition(packed.era, packed.position), table, packed.backends)
--- a/src/yokedock/process/state_follower.py
+++ b/src/yokedock/process/state_follower.py
@@ -1,4 +1,4 @@
-"""Follows routes and backends: reads all once, then waits for changes; takes over what is newer."""
+"""Keeps routes and backends current: reads all once, then watches the source for changes."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from yokedock.errors import PlatformUnavailable
 from yokedock.process.interruptible_call import InterruptibleCall
 from yokedock.process.state_news import RecentNews
-from yokedock.process.watch_duty import MS_PER_SECOND, NEVER, OWN_WATCH_S, WatchDuty
+from yokedock.process.watch_duty import MS_PER_SECOND, NEVER, UNSHARED_WATCH_S, WatchDuty
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.list_restoration import MISSING_GRACE_S, AppliedHistory
 from yokedock.router_errors import HistoryGone
@@ -23,66 +23,70 @@
 _log = logger("state")
 
 RETRY_S = 0.15
-LONGEST_RETRY_S = 1.0
-"""Pauses after a failed read: the first one, doubled up to the longest, each shortened by up to a
-half at random so that routers do not return together."""
-GATHER_S = 0.2
-"""Pause after a change before the next ones are asked for. Every call to the source is paid for by
-the whole fleet at once: changes that follow each other come in one answer."""
-FINISHED_SHARE = 0.5
-"""A read that has come so far goes on when another router brings a newer table: it may bring a
-still newer one, and must not begin again at nothing. It costs at most half a read more."""
+MAX_RETRY_S = 1.0
+"""First and longest delay after a failed read. The delay doubles with each failure, and is
+shortened at random by up to a half so that routers do not retry simultaneously."""
+CHANGE_BATCHING_S = 0.2
+"""Delay after a change before the next changes are requested. Each change causes a call from every
+router of the fleet at once: with the delay, successive changes arrive in one response."""
+FINISH_READ_FRACTION = 0.5
+"""Received fraction from which a read is completed although another router sent a newer table: it
+may contain a still newer one, and would have to start over. This costs at most half a read."""
 REREAD_S = 1.0
-"""A source that drops its history again within this time of a whole read is asked after a pause."""
-DUTY_CHECK_S = 0.1
-"""A router at rest looks so often whether it is to watch the source itself."""
+"""Time after a full read in which the source is called again only after a delay if it has dropped
+its history once more."""
+WATCH_CHECK_S = 0.1
+"""Interval at which a router that does not watch the source checks whether it should."""
 RECONNECT_WATCH_S = 0.01
-"""Longest rest of the first watch after a failed call. A source that was restored to exactly the
-watched revision has no changes to report, and names its new era only when the watch ends."""
+"""Maximum duration of the first watch after a failed call. A source that was restored to exactly
+the watched revision has no changes to report, and names its new era only when the watch ends."""
 TIMER_SLACK_S = 0.02
-"""How much a timer of the event loop may fire early by the clock of the registry."""
+"""How early a timer of the event loop may fire, measured by the clock of the registry."""
 
 
 class StateFollower:
-    """Keeps the route table and the registry current. Versions never go back."""
+    """Keeps the route table and the registry current. The table version never decreases."""
 
     def __init__(
-        self, source: StateSource, registry: BackendRegistry, duty: WatchDuty | None = None
+        self,
+        source: StateSource,
+        registry: BackendRegistry,
+        watcher_selection: WatchDuty | None = None,
     ) -> None:
-        """Follow ``source``; ``duty`` tells when others watch it for this router."""
+        """Follow ``source``; ``watcher_selection`` decides who watches it if it is shared."""
         self._source = source
         self._registry = registry
-        self._duty = duty if source.is_shared else None
+        self._watcher_selection = watcher_selection if source.is_shared else None
         self._has_failed = True
         """Whether the last call to the source failed, or none was made."""
         self._is_reconnecting = False
-        """Whether no call has been answered since a call failed."""
+        """Whether no call has succeeded since a call failed."""
         self._recent_news = RecentNews()
         self.on_news: Callable[[], None] = lambda: None
-        """Called when the source has told something that the other routers may not know."""
+        """Called after a change reported by the source that the other routers may not know."""
         self._random = new_random()
-        self._heard_s = 0.0
-        self._read_s = 0.0
-        """When everything was read last (boot time, s)."""
-        self.reads_not_taken = 0
-        """Whole reads since the start whose backends were ignored, as older than ``position``."""
+        self._last_answer_s = 0.0
+        self._last_read_s = 0.0
+        """Time of the last full read (boot time, s)."""
+        self.reads_ignored = 0
+        """Full reads since the start whose backends were ignored as older than ``position``."""
         self.undecoded = 0
-        """Items of the source that were not understood, since the start."""
+        """Undecodable items received from the source since the start."""
         self.index: RouteIndex | None = None
         self.position = SourcePosition()
         self._applied_ms = 0
-        """When ``position`` was reached (wall clock)."""
+        """When ``position`` was reached (wall clock, ms)."""
         self._last_watch_position = SourcePosition()
         """Start position of the last watch."""
         self._reports_era = True
         """Whether the last full read named an era."""
         self._known = asyncio.Event()
-        self._reading = InterruptibleCall()
+        self._source_call = InterruptibleCall()
         """Runs calls to the source, so that ``adopt`` can interrupt them."""
 
     @property
     def version(self) -> int:
-        """Return the version in force, 0 if none is known."""
+        """Return the version of the current route table, 0 if none is known."""
         return self.index.table.version if self.index else 0
 
     @property
@@ -100,63 +104,72 @@
                 return False
         return self.is_known
 
-    def _note_known(self) -> None:
+    def _signal_known(self) -> None:
         if self.is_known:
             self._known.set()
 
     def silent_s(self) -> float:
-        """Return for how long the source has not answered, in seconds."""
-        return boot_time_s() - self._heard_s
+        """Return the time since the last response of the source, in seconds."""
+        return boot_time_s() - self._last_answer_s
 
     def source_age_ms(self) -> int:
-        """Return how long ago the source answered, ``NEVER`` if it did not the last time."""
+        """Return the age of the source's last response, ``NEVER`` if the last call failed."""
         if self._has_failed:
             return NEVER
         return round(self.silent_s() * MS_PER_SECOND)
 
     def age_s(self) -> float:
-        """Return how old what is known may be: since the source answered anyone that is heard."""
-        youngest_s = self._duty.youngest_s() if self._duty is not None else None
-        return self.silent_s() if youngest_s is None else min(youngest_s, self.silent_s())
+        """Return the maximum age of the known state, in seconds.
+
+        It counts from the last response of the source to this router or to any live one.
+        """
+        min_source_age_s = (
+            self._watcher_selection.min_source_age_s()
+            if self._watcher_selection is not None
+            else None
+        )
+        return (
+            self.silent_s() if min_source_age_s is None else min(min_source_age_s, self.silent_s())
+        )
 
     def news(self) -> tuple[StateNews, ...]:
-        """Return what the source told a moment ago, for the other routers."""
+        """Return recent changes reported by the source, for the other routers."""
         return self._recent_news.unexpired()
 
-    def take_news(self, told: tuple[StateNews, ...]) -> None:
-        """Take over what another router learned, where this one knows all that came before.
+    def take_news(self, changes: tuple[StateNews, ...]) -> None:
+        """Apply changes that another router received, if this one has applied all earlier ones.
 
-        What is not taken is fetched by the exchange of states, which sees that the other is ahead.
+        Otherwise the state exchange detects that the other router is ahead, and fetches its state.
         """
-        for news in told:
+        for news in changes:
             follows = news.start_position() <= self.position < news.end_position()
             if follows and news.version <= self.version and self.is_known:
                 self._advance(news.end_position())
                 self._registry.update(news.changed, news.gone)
 
     def snapshot(self) -> StateSnapshot:
-        """Return what is known, for another router."""
+        """Return the known state, for another router."""
         table = self.index.table if self.index else None
         return StateSnapshot(self.position, table, self._registry.entries())
 
     def adopt(self, snapshot: StateSnapshot) -> None:
-        """Take over what another router knows, where it is newer.
+        """Apply the parts of another router's state that are newer.
 
-        With a newer table, a read of the source that has just begun is given up: it would bring the
-        same table over the same link, and hold up what comes after it. With a later era, so is a
-        watch from a position in the previous one: it may omit changes that this router lacks.
+        With a newer table, a read of the source that has just begun is interrupted: it would fetch
+        the same table over the same link, and delay later calls. With a later era, so is a watch
+        from a position in the previous one: it may omit changes that this router lacks.
         """
         is_newer = self._adopt_table(snapshot.table)
         is_newer = is_newer or snapshot.position.era > self.position.era
-        has_just_begun = self._source.received_fraction() < FINISHED_SHARE
+        has_just_begun = self._source.received_fraction() < FINISH_READ_FRACTION
         if is_newer and has_just_begun:
-            self._reading.interrupt()
+            self._source_call.interrupt()
         if snapshot.position > self.position:
             self._replace_backends(snapshot.position, snapshot.backends)
-        self._note_known()
+        self._signal_known()
 
     async def run(self) -> None:
-        """Follow the source for ever."""
+        """Follow the source until cancelled."""
         wait_s = RETRY_S
         must_read = True
         while True:
@@ -165,12 +178,12 @@
                     await self._read_all()
                     must_read = False
                 if await self._follow():
-                    await asyncio.sleep(GATHER_S)
+                    await asyncio.sleep(CHANGE_BATCHING_S)
                 wait_s = RETRY_S
             except HistoryGone as error:
                 self._is_reconnecting = False
-                _log.info("must read all", reason=error.message, **self._position_fields())
-                if boot_time_s() - self._read_s < REREAD_S:
+                _log.info("full read required", reason=error.message, **self._position_fields())
+                if boot_time_s() - self._last_read_s < REREAD_S:
                     await asyncio.sleep(RETRY_S)
                 must_read = must_read or not await self._wait_for_peer_state(
                     self._last_watch_position
@@ -181,36 +194,36 @@
                 # Without an era, a restore during the outage cannot be detected from changes.
                 must_read = must_read or self.index is None or not self._reports_era
                 await asyncio.sleep(wait_s * self._random.uniform(0.5, 1.0))
-                wait_s = min(2 * wait_s, LONGEST_RETRY_S)
+                wait_s = min(2 * wait_s, MAX_RETRY_S)
 
     def _position_fields(self) -> dict[str, int]:
         """Return the log fields of the current position."""
         return {"era": self.position.era, "position": self.position.revision}
 
     async def _wait_for_peer_state(self, start: SourcePosition) -> bool:
-        """Return whether state after ``start`` was taken over from another router.
+        """Return whether state after ``start`` was adopted from another router.
 
-        All but the initial readers wait for it.
+        All routers except the initial readers wait for it.
         """
         delay_s = 0.0
-        if self._duty is not None:
-            delay_s = self._random.uniform(*self._duty.read_delay_range_s())
+        if self._watcher_selection is not None:
+            delay_s = self._random.uniform(*self._watcher_selection.read_delay_range_s())
         latest_s = boot_time_s() + delay_s
         while self.position == start and boot_time_s() < latest_s:
-            await asyncio.sleep(DUTY_CHECK_S)
+            await asyncio.sleep(WATCH_CHECK_S)
         return self.position > start
 
     async def _read_all(self) -> None:
         before = self.position
-        snapshot = await self._reading.run(self._source.read())
+        snapshot = await self._source_call.run(self._source.read())
         if snapshot is None:
             self._log_interruption()
             return
-        self._read_s = boot_time_s()
+        self._last_read_s = boot_time_s()
         self._reports_era = snapshot.position.era != NO_ERA
         read_at = before.position_of_read(snapshot.position)
-        is_taken = self._take_all(snapshot, read_at)
-        self.reads_not_taken += not is_taken
+        is_taken = self._apply_full_read(snapshot, read_at)
+        self.reads_ignored += not is_taken
         _log.info(
             "state read",
             **self._position_fields(),
@@ -222,25 +235,29 @@
         )
 
     def _log_interruption(self) -> None:
-        _log.info("read overtaken", **self._position_fields(), version=self.version)
+        _log.info(
+            "call to the source superseded by another router's state",
+            **self._position_fields(),
+            version=self.version,
+        )
 
-    async def _until_due(self) -> None:
-        """Rest while others watch the source for this router."""
-        while self._duty is not None and not self._duty.is_due():
-            await asyncio.sleep(DUTY_CHECK_S)
+    async def _wait_until_due(self) -> None:
+        """Wait while other routers watch the source for this one."""
+        while self._watcher_selection is not None and not self._watcher_selection.is_due():
+            await asyncio.sleep(WATCH_CHECK_S)
 
     async def _follow(self) -> bool:
-        """Wait for changes and take them over; return whether there were any."""
-        await self._until_due()
+        """Wait for changes and apply them; return whether there were any."""
+        await self._wait_until_due()
         before = self._last_watch_position = self.position
-        changes = await self._reading.run(self._source.wait(before, self._watch_s()))
+        changes = await self._source_call.run(self._source.wait(before, self._watch_s()))
         if changes is None:
             self._log_interruption()
             return False
         if self.position.era > before.era:
             return False
         position = before.position_of_changes(changes.position)
-        self._note_answer()
+        self._record_answer()
         self.undecoded += len(changes.undecoded)
         self._adopt_table(changes.table)
         if position < self.position:
@@ -260,28 +277,32 @@
         return changes.table is not None or bool(changes.changed or changes.gone)
 
     def _watch_s(self) -> float:
-        """Return how long the next watch may rest."""
+        """Return the maximum duration of the next watch."""
         if self._is_reconnecting:
             return RECONNECT_WATCH_S
-        return self._duty.watch_s() if self._duty is not None else OWN_WATCH_S
+        return (
+            self._watcher_selection.watch_s()
+            if self._watcher_selection is not None
+            else UNSHARED_WATCH_S
+        )
 
-    def _note_answer(self) -> None:
-        self._heard_s = boot_time_s()
+    def _record_answer(self) -> None:
+        self._last_answer_s = boot_time_s()
         self._has_failed = self._is_reconnecting = False
 
-    def _take_all(self, snapshot: StateSnapshot, read_at: SourcePosition) -> bool:
-        """Apply a whole read; return False if it was too old for its backends to be used."""
-        self._note_answer()
+    def _apply_full_read(self, snapshot: StateSnapshot, read_at: SourcePosition) -> bool:
+        """Apply a full read; return False if its backends were ignored as too old."""
+        self._record_answer()
         self.undecoded += len(snapshot.undecoded)
         self._adopt_table(snapshot.table)
         is_current = read_at >= self.position
         if is_current and self._replace_backends(read_at, snapshot.backends):
             self.on_news()
-        self._note_known()
+        self._signal_known()
         return is_current
 
     def _advance(self, position: SourcePosition) -> None:
-        """Set the position, and record the time if it is higher than before."""
+        """Set the position, and record the time if it increased."""
         if position > self.position:
             self._applied_ms = wall_clock_ms()
         self.position = position
@@ -289,7 +310,7 @@
     def _replace_backends(
         self, position: SourcePosition, backends: dict[str, BackendEntry]
     ) -> bool:
-        """Replace all backends by those at ``position``; return whether the source was restored."""
+        """Replace all backends; return whether the source was restored from a backup."""
         is_restored = self.position > SourcePosition() and position.era > self.position.era
         applied = AppliedHistory(self.position.revision, self._applied_ms)
         self._advance(position)
@@ -304,10 +325,10 @@
         return is_restored
 
     def _adopt_table(self, table: RouteTable | None) -> bool:
-        """Put a newer table in force; return whether it was newer."""
+        """Adopt a table if it is newer; return whether it was."""
         if table is None or table.version <= self.version:
             return False
         self.index = RouteIndex(table)
         _log.info("table adopted", version=table.version, routes=len(table.routes))
-        self._note_known()
+        self._signal_known()
         return True
--- a/src/yokedock/process/wake_watch.py
+++ b/src/yokedock/process/wake_watch.py
@@ -1,7 +1,8 @@
-"""Notices that the machine was suspended, and drops what cannot have outlasted it.
+"""Detects that the machine was suspended, and then closes idle connections.
 
-Ages, leases and deadlines count the suspension by themselves, since the clock does. Connections do
-not: a peer, or something on the way, may have given them up without a word that could be received.
+Ages, leases and deadlines include the suspension, because the clock does. Connections need to be
+closed: the peer or a device on the path may have dropped them, and this machine could not receive
+any notification.
 """
 
 from __future__ import annotations
@@ -15,38 +16,38 @@
 _log = logger("wake")
 
 CHECK_S = 0.1
-"""It also bounds how late timers are noticed that came due in a suspension."""
-LEAST_SLEEP_S = 0.05
-"""Less is no suspension: two readings of two clocks are never at one moment."""
+"""Interval between checks. It also bounds the delay of timers that expired during a suspension."""
+MIN_SUSPENSION_S = 0.05
+"""Shorter differences are not suspensions, because two clocks cannot be read simultaneously."""
 
 
-class WakeWatch:
-    """Looks at the clocks of one process; ``run`` is its task."""
+class SuspensionMonitor:
+    """Detects suspensions by comparing clocks; ``run`` is its task."""
 
     def __init__(self, pool: BackendPool) -> None:
-        """Drop resting connections of ``pool`` on waking."""
+        """Close the idle connections of ``pool`` after a suspension."""
         self._pool = pool
         self._meter = SuspensionMeter()
-        self._wakes = 0
-        self._slept_s = 0.0
+        self._suspensions = 0
+        self._suspended_s = 0.0
 
     async def run(self) -> None:
-        """Look at intervals, for ever."""
+        """Check periodically, until cancelled."""
         while True:
-            self.look()
+            self.check()
             await asyncio.sleep(CHECK_S)
 
-    def look(self) -> None:
-        """Note a suspension since the last look."""
+    def check(self) -> None:
+        """Handle a suspension since the last check, if any."""
         suspended_for_s = self._meter.suspended_for_s()
-        if suspended_for_s < LEAST_SLEEP_S:
+        if suspended_for_s < MIN_SUSPENSION_S:
             return
-        self._wakes += 1
-        self._slept_s += suspended_for_s
+        self._suspensions += 1
+        self._suspended_s += suspended_for_s
         dropped = self._pool.size()
         self._pool.forget_all()
         _log.warning("machine slept", slept_ms=round(suspended_for_s * 1000), connections=dropped)
 
     def levels(self) -> dict[str, float]:
-        """Return what operators see: suspensions since the start, and their seconds."""
-        return {"suspensions": self._wakes, "suspended_s": self._slept_s}
+        """Return the number and the total duration of suspensions since the start."""
+        return {"suspensions": self._suspensions, "suspended_s": self._suspended_s}
--- a/src/yokedock/process/watch_duty.py
+++ b/src/yokedock/process/watch_duty.py
@@ -1,12 +1,14 @@
-"""Which routers watch the shared source of state; the others learn from them.
+"""Selects the routers that watch the shared state source; the others receive changes from them.
 
-A source that all routers watch is asked as often as there are routers: 68 of them made 3,900 calls
-in a quiet minute, though little changed. Here a few watch, and tell the others at once.
+The load on a source that all routers watch grows with their number: 68 routers made 3,900 calls in
+an idle minute with few changes. Therefore only a few watch, and report changes to the others at
+once.
 
-Each router tells how long ago the source answered it, and watches itself unless ``MOST_WATCHERS``
-that come before it in a fixed order were answered within ``FRESH_S``. A watcher that is gone, cut
-off or turned away is so replaced within that time and what its silence takes to be noticed. Nothing
-is agreed upon: where views differ, a few more watch than are needed.
+Each router reports how long ago the source responded to it, and watches the source itself unless
+``MOST_WATCHERS`` routers that precede it in a fixed order had a response within ``FRESH_S``. A
+watcher that has ended, is cut off or is rejected by the source is thus replaced within that time
+plus the time to detect its silence. No agreement is required: where the routers' views differ, a
+few more than necessary watch.
 """
 
 from __future__ import annotations
@@ -20,47 +22,48 @@
 from yokedock.base.clock import boot_time_s
 
 MOST_WATCHERS = 6
-"""Routers that watch. A third of the machines may be cut off from the source at once: that all
-watchers are among them then happens once in 700 times. Fleets up to this size all watch."""
+"""Number of routers that watch. If a third of the machines is cut off from the source
+simultaneously, the probability that all watchers are among them is 1/700. In fleets up to this size
+all watch."""
 WATCH_S = 1.0
-"""How long a watch may rest where others depend on it: its answer is the sign of life."""
-OWN_WATCH_S = 2.0
-"""How long it may rest where every router watches for itself."""
+"""Maximum duration of a watch that other routers depend on: its response shows that it works."""
+UNSHARED_WATCH_S = 2.0
+"""Maximum duration of a watch if every router watches for itself."""
 FRESH_S = 1.8
-"""An answer of the source is fresh for this time: a watch, 0.3 s until the next datagram, one lost
-datagram, and some 0.2 s on a busy machine. It bounds how long a change stays unknown where all
-watchers lose the source at once without a sign."""
-SHORTEST_READ_DELAY_S = 0.8
-LONGEST_READ_DELAY_S = 1.6
-"""When every router has to read everything, all but the initial readers wait this long for the
-state of another router, which is announced within 0.3 s and then fetched. The random spread keeps
-routers from reading simultaneously when the initial readers are cut off."""
+"""How long a response of the source counts as fresh: the duration of a watch, 0.3 s until the next
+datagram, one lost datagram, and about 0.2 s on a busy machine. It bounds how long a change remains
+unknown if all watchers lose the source simultaneously without an error."""
+MIN_READ_DELAY_S = 0.8
+MAX_READ_DELAY_S = 1.6
+"""When every router has to read the full state, all except the initial readers wait this long for
+the state of another router, which is announced within 0.3 s and then fetched. The random spread
+keeps routers from reading simultaneously if the initial readers are cut off."""
 NEVER = -1
-"""Told instead of an age: the source never answered, or refused the last call."""
+"""Reported instead of an age: the source has never responded, or the last call failed."""
 MS_PER_SECOND = 1000
-MOST_RANKS = 4096
-"""Routers whose place in the order is kept at hand."""
+RANK_CACHE_SIZE = 4096
+"""Number of routers whose rank is cached."""
 
 
 class SourceContact(msgspec.Struct, frozen=True):
-    """What another router told of its contact with the source."""
+    """Another router's report on its contact with the source."""
 
     router: str
     age_ms: int
-    """Time since the source answered that router, ``NEVER`` if it did not."""
+    """Time since the source responded to that router, ``NEVER`` if it did not."""
     heard_s: float
-    """When it told that (boot time, s)."""
+    """When the report was received (boot time, s)."""
     is_leaving: bool = False
 
     def age_s(self, now_s: float) -> float | None:
-        """Return how long ago the source answered, None if it did not."""
+        """Return how long ago the source responded, None if it did not."""
         if self.age_ms == NEVER:
             return None
         return self.age_ms / MS_PER_SECOND + now_s - self.heard_s
 
 
 class WatchDuty:
-    """Whether this router watches the source, by what the others tell."""
+    """Decides whether this router watches the source, from the reports of the others."""
 
     def __init__(
         self,
@@ -68,13 +71,13 @@
         contacts: Callable[[], Iterable[SourceContact]],
         clock: Callable[[], float] = boot_time_s,
     ) -> None:
-        """``contacts`` returns what the routers told that were heard a moment ago."""
+        """``contacts`` returns the last reports of the live routers."""
         self._rank = _rank(own)
         self._contacts = contacts
         self._clock = clock
 
     def is_due(self) -> bool:
-        """Return whether this router is to watch now."""
+        """Return whether this router should watch now."""
         now_s = self._clock()
         before = 0
         for contact in self._contacts():
@@ -87,7 +90,7 @@
         return True
 
     def is_initial_reader(self) -> bool:
-        """Return whether this router reads at once when every router has to read everything.
+        """Return whether this router reads at once when every router has to read the full state.
 
         The others wait for its state: hundreds of full reads within a second would overload the
         source.
@@ -98,25 +101,25 @@
     def read_delay_range_s(self) -> tuple[float, float]:
         """Return the shortest and longest wait for the state of another router, in seconds.
 
-        The wait precedes a full read when every router has to read everything.
+        The wait precedes a full read when every router has to read the full state.
         """
         if self.is_initial_reader():
             return 0.0, 0.0
-        return SHORTEST_READ_DELAY_S, LONGEST_READ_DELAY_S
+        return MIN_READ_DELAY_S, MAX_READ_DELAY_S
 
     def watch_s(self) -> float:
-        """Return how long a watch may rest."""
+        """Return the maximum duration of a watch."""
         others = sum(1 for _ in self._contacts())
-        return OWN_WATCH_S if others < MOST_WATCHERS else WATCH_S
+        return UNSHARED_WATCH_S if others < MOST_WATCHERS else WATCH_S
 
-    def youngest_s(self) -> float | None:
-        """Return how long ago the source answered any other router, None if it did not."""
+    def min_source_age_s(self) -> float | None:
+        """Return how long ago the source last responded to another router, None if it did not."""
         now_s = self._clock()
         ages = (contact.age_s(now_s) for contact in self._contacts())
         return min((age_s for age_s in ages if age_s is not None), default=None)
 
 
-@functools.lru_cache(maxsize=MOST_RANKS)
+@functools.lru_cache(maxsize=RANK_CACHE_SIZE)
 def _rank(router: str) -> int:
-    """Return a router's place in the order: by hash, so that watchers spread over all zones."""
+    """Return a router's rank, a hash, so that the watchers are spread over all zones."""
     return xxhash.xxh64_intdigest(router.encode())
