--- a/src/yokedock/process/log_explain.py
+++ b/src/yokedock/process/log_explain.py
@@ -135,7 +135,7 @@
         for request, (at_s, placed) in self.placements.items():
             if request not in self.finished:
                 found.append(ExplainedRequest(at_s, placed.route, False, Cause.ROUTER_GONE))
-        return sorted(found, key=lambda request: request.arrived_s)
+        return sorted(found, key=lambda entry: entry.arrived_s)
 
     def _parse_line(self, data: bytes) -> None:
         line = msgspec.json.decode(data, type=LogLine)
--- a/src/yokedock/process/role_balancer.py
+++ b/src/yokedock/process/role_balancer.py
@@ -152,7 +152,7 @@
         self._changing[backend.name] = (role, until_s)
         _log.info("role ordered", engine=backend.name, role=role, token=token)
         status = await self._send(backend, order)
-        _log.info("role order completed", engine=backend.name, role=role, status=status)
+        _log.info("role order answered", engine=backend.name, role=role, status=status)
         if status not in (200, 202, None):
             del self._changing[backend.name]
         if status == FENCED_STATUS:
