--- a/features/steps/logs_steps.py
+++ b/features/steps/logs_steps.py
@@ -110,5 +110,5 @@
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
     assert done.returncode == 0, done
     imported = set(done.stdout.split())
-    assert "yokedock.process.request_story" in imported, imported
+    assert "yokedock.process.request_trace" in imported, imported
     assert not imported & set(names.split(", ")), imported & set(names.split(", "))
--- a/features/steps/router_patience_steps.py
+++ b/features/steps/router_patience_steps.py
@@ -28,7 +28,7 @@
 @given("its budget allows one repeat in a window")
 def one_repeat(context):
     # Three quarters of an allowance are used: 1.5, which is one whole repeat.
-    context.router._intake._opaque._allowance._bounds = RetryBounds(0.0, 10.0, 2.0)
+    context.router._request_handler._unary._allowance._bounds = RetryBounds(0.0, 10.0, 2.0)
 
 
 @when('{count:d} clients send POST on "{name}", one a moment after the other')
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -65,7 +65,7 @@
 
 @then("the router tells of {count:d} suspension of {suspended_for_s:f} s")
 def suspension_told(context, count, suspended_for_s):
-    levels = context.router._wake.levels()
+    levels = context.router._suspension_monitor.levels()
     assert levels["suspensions"] == count and abs(levels["suspended_s"] - suspended_for_s) < 0.1, (
         levels
     )
--- a/features/support/poison_properties.py
+++ b/features/support/poison_properties.py
@@ -14,7 +14,7 @@
     CRASH_GOSSIP_S,
     FORGOTTEN_S,
     MAX_CRASHES_KEPT,
-    MOST_KEPT,
+    MAX_KEPT,
     SETTLE_S,
     PoisonRequests,
     incarnation_number,
@@ -286,11 +286,11 @@
     """Neither a flood of ends nor one request with many grows without end."""
     clock = Clock()
     router = PoisonRequests(clock=clock)
-    for number in range(3 * MOST_KEPT):
+    for number in range(3 * MAX_KEPT):
         clock.now_s += 0.001
         router.record_crash(number, number % 50, 1.0)
     router.drop_old()
-    assert router.size() == MOST_KEPT
+    assert router.size() == MAX_KEPT
     ended(router, -1, *range(10_000, 10_000 + 3 * MAX_CRASHES_KEPT))
     told = next(request for request in router.told() if request.digest == -1)
     assert len(told.lives) == MAX_CRASHES_KEPT
--- a/features/support/restored_properties.py
+++ b/features/support/restored_properties.py
@@ -179,7 +179,7 @@
                 clock.now_s += second / 1000
                 answer = in_flight.pop(first % len(in_flight))
                 is_unreported = isinstance(answer, StateNews)
-                follower.take_news((answer,)) if is_unreported else follower.adopt(answer)
+                follower.apply_news((answer,)) if is_unreported else follower.adopt(answer)
                 registry.apply_restoration_timeouts()
             assert follower.position >= before
             leaving |= {n for n, found in registry.entries().items() if found.is_leaving}
--- a/features/support/role_properties.py
+++ b/features/support/role_properties.py
@@ -8,7 +8,7 @@
 
 from support.stream_properties import TRAITS
 from yokedock.connection.state_source import BackendEntry
-from yokedock.process.role_balancer import MOST_ORDERS, SETTLED_S, RoleBalancer
+from yokedock.process.role_balancer import MAX_ORDERS, SETTLED_S, RoleBalancer
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_ledger import EngineLedger, StreamDemand
 from yokedock.request.role_plan import target_prefill_engines
@@ -66,7 +66,7 @@
         balancer = RecordingBalancer(engines, engines // 2)
         balancer.ledger.open_stream(StreamDemand(f"e{engines - 1}", 10, 0, 0))
         counts = asyncio.run(orders_in(balancer, 4))
-        assert counts[-1] == most <= MOST_ORDERS, counts
+        assert counts[-1] == most <= MAX_ORDERS, counts
 
 
 ROLE_PROPERTIES = {
--- a/features/support/upkeep_properties.py
+++ b/features/support/upkeep_properties.py
@@ -14,7 +14,7 @@
 from yokedock.connection.state_source import BackendEntry
 from yokedock.errors import YokedockError
 from yokedock.process.leadership import Leadership, Vote
-from yokedock.process.router_metrics import GONE_ROUTES, MOST_KEPT, MOST_ROUTES, RouterMetrics
+from yokedock.process.router_metrics import MAX_KEPT, MAX_ROUTES, REMOVED_ROUTES, RouterMetrics
 from yokedock.request.backend_list import BACKEND_RETENTION_S
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.retry_allowance import RetryAllowance, RetryBounds
@@ -89,27 +89,27 @@
 def metrics_are_bounded():
     """Routes come and go by the thousand; values wait in bounded number; nothing is lost unsaid."""
     metrics = RouterMetrics()
-    for number in range(3 * MOST_ROUTES):
+    for number in range(3 * MAX_ROUTES):
         metrics.count(f"r{number}", "answered")
         metrics.record(f"r{number}", "held", 0.01)
         metrics.count_late("llm", f"r{number}", "hall")
     while metrics.fold_some():
         pass
-    assert metrics.sizes()["outcome_routes"] <= MOST_ROUTES + 1, metrics.sizes()
-    assert metrics.sizes()["histograms"] <= MOST_ROUTES + 1
-    assert metrics.sizes()["late_rows"] <= MOST_ROUTES + 1
-    for _ in range(MOST_KEPT + 7):
+    assert metrics.sizes()["outcome_routes"] <= MAX_ROUTES + 1, metrics.sizes()
+    assert metrics.sizes()["histograms"] <= MAX_ROUTES + 1
+    assert metrics.sizes()["late_rows"] <= MAX_ROUTES + 1
+    for _ in range(MAX_KEPT + 7):
         metrics.record("r1", "held", 0.01)
     metrics.keep_only({"r1"})
     text = asyncio.run(metrics.text({"active": 3})).decode()
     assert "router_active 3\n" in text
     assert "router_values_dropped 7\n" in text
-    assert f'route="{GONE_ROUTES}",outcome="answered"}} {MOST_ROUTES - 1}\n' in text
+    assert f'route="{REMOVED_ROUTES}",outcome="answered"}} {MAX_ROUTES - 1}\n' in text
     told = re.search(r'router_ms{route="r1",measure="held",quantile="0.95"} (\S+)\n', text)
     assert 9.8 <= float(told[1]) <= 10.2, told[1]
     assert 'route="r2"' not in text
-    late = f'router_late{{service="{GONE_ROUTES}",route="{GONE_ROUTES}",zone="hall"}}'
-    assert f"{late} {MOST_ROUTES - 1}\n" in text
+    late = f'router_late{{service="{REMOVED_ROUTES}",route="{REMOVED_ROUTES}",zone="hall"}}'
+    assert f"{late} {MAX_ROUTES - 1}\n" in text
     assert 'router_late{service="llm",route="r1",zone="hall"} 1\n' in text
     left = {"outcome_routes": 3, "histograms": 2, "late_rows": 3}
     assert metrics.sizes() == left, metrics.sizes()
--- a/features/support/watch_properties.py
+++ b/features/support/watch_properties.py
@@ -17,13 +17,13 @@
 from yokedock.errors import PlatformUnavailable
 from yokedock.process.interruptible_call import InterruptibleCall
 from yokedock.process.state_follower import StateFollower
-from yokedock.process.watch_duty import (
+from yokedock.process.watcher_selection import (
     FRESH_S,
-    MOST_WATCHERS,
+    MAX_WATCHERS,
     NEVER,
     WATCH_S,
     SourceContact,
-    WatchDuty,
+    WatcherSelection,
 )
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.router_errors import HistoryUnavailable
@@ -120,9 +120,9 @@
         self.registry = BackendRegistry("zone")
         self.others = []
         self._heard = {}
-        duty = WatchDuty(address, self._contacts) if shares_watch else None
-        self.follower = StateFollower(self.path, self.registry, duty)
-        self.duty = duty
+        watcher_selection = WatcherSelection(address, self._contacts) if shares_watch else None
+        self.follower = StateFollower(self.path, self.registry, watcher_selection)
+        self.watcher_selection = watcher_selection
         self.follower.on_news = self._tell_soon
         self.is_cut = False
         self._is_telling = False
@@ -151,7 +151,7 @@
         if self.is_cut:
             return
         self._heard[teller.address] = SourceContact(teller.address, age_ms, boot_time_s())
-        self.follower.take_news(news)
+        self.follower.apply_news(news)
         if position > self.follower.position and not self._is_fetching:
             self._is_fetching = True
             asyncio.get_running_loop().call_later(FETCH_S, self._fetch, teller)
@@ -194,7 +194,11 @@
 
     def watchers(self):
         """Return the routers that watch the store now."""
-        return [router for router in self.routers if router.duty is None or router.duty.is_due()]
+        return [
+            router
+            for router in self.routers
+            if router.watcher_selection is None or router.watcher_selection.is_due()
+        ]
 
     async def known_after_s(self, name, limit_s=8.0):
         """Return the seconds until each router that can know of a new backend does, sorted."""
@@ -227,7 +231,7 @@
 def few_routers_watch_the_store():
     """Of 68 routers six ask it, once a second; each change is known everywhere at once."""
     calls, took_s = run_simulated(_calls_and_news(shares_watch=True))
-    assert calls <= 3 * MOST_WATCHERS / WATCH_S + MOST_WATCHERS, calls
+    assert calls <= 3 * MAX_WATCHERS / WATCH_S + MAX_WATCHERS, calls
     assert took_s[len(took_s) // 2] < 0.1 and took_s[-1] < 0.5, (
         took_s[len(took_s) // 2],
         took_s[-1],
@@ -311,7 +315,7 @@
             await _restore(fleet, lost=5, cut=())
             took_s = await fleet.known_after_s("new")
             await asyncio.sleep(1.0)
-            assert fleet.store.reads <= 2 * MOST_WATCHERS, fleet.store.reads
+            assert fleet.store.reads <= 2 * MAX_WATCHERS, fleet.store.reads
             assert fleet.store.calls <= 3 * ROUTERS, fleet.store.calls
             assert took_s[-1] < 1.5, took_s[-1]
 
@@ -323,8 +327,10 @@
 
     async def play():
         async with WatchingFleet() as fleet:
-            readers = [router for router in fleet.routers if router.duty.is_initial_reader()]
-            assert len(readers) == MOST_WATCHERS
+            readers = [
+                router for router in fleet.routers if router.watcher_selection.is_initial_reader()
+            ]
+            assert len(readers) == MAX_WATCHERS
             await _restore(fleet, lost=5, cut=readers)
             took_s = await fleet.known_after_s("new")
             assert took_s[-1] < 3.0, took_s[-1]
@@ -350,16 +356,16 @@
     }
     sound = [n for n, c in contacts.items() if c.age_ms in (0, 900, 1700) and not c.is_leaving]
     views = {
-        number: WatchDuty(
+        number: WatcherSelection(
             f"10.0.0.{number}",
             lambda number=number: [c for n, c in contacts.items() if n != number],
             clock,
         )
         for number in {*contacts, own}
     }
-    due = [number for number, duty in views.items() if duty.is_due()]
-    assert len(set(due) & set(sound)) == min(len(sound), MOST_WATCHERS)
-    assert len(due) >= min(len(views), MOST_WATCHERS)
+    due = [number for number, watcher_selection in views.items() if watcher_selection.is_due()]
+    assert len(set(due) & set(sound)) == min(len(sound), MAX_WATCHERS)
+    assert len(due) >= min(len(views), MAX_WATCHERS)
 
 
 async def _interrupt_call_twice():
--- a/src/yokedock/process/fleet_talk.py
+++ b/src/yokedock/process/gossip_handler.py
@@ -13,11 +13,11 @@
 from yokedock.connection.router_gossip import OtherRouter, RouterGossip
 from yokedock.connection.router_state import RouterState
 from yokedock.process.leadership import Leadership, Vote
-from yokedock.process.request_intake import StopState
+from yokedock.process.request_handler import StopState
 from yokedock.process.role_balancer import RoleBalancer
 from yokedock.process.state_exchange import StateExchange
 from yokedock.process.state_follower import StateFollower
-from yokedock.process.watch_duty import SourceContact
+from yokedock.process.watcher_selection import SourceContact
 from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.engine_ledger import EngineLedger
@@ -117,7 +117,7 @@
         components.poison.heard(state.suspects, other.heard_s)
         components.backends.apply_remote_leaving(state.leaving, other.heard_s)
         components.backends.apply_remote_limits(other.address, state.limits, other.heard_s)
-        components.follower.take_news(state.news)
+        components.follower.apply_news(state.news)
         components.exchange.on_router_state(state)
 
     def fencing_token(self) -> int | None:
--- a/src/yokedock/process/log_commands.py
+++ b/src/yokedock/process/log_commands.py
@@ -8,8 +8,8 @@
 import cyclopts
 
 from yokedock.process.exit import EXIT_NOT_FOUND
-from yokedock.process.log_explain import LogBook, prediction_text, window_table
-from yokedock.process.request_story import log_files, stories, story_text
+from yokedock.process.log_explain import RequestLogs, prediction_text, window_table
+from yokedock.process.request_trace import log_files, stories, trace_text
 
 app = cyclopts.App(name="logs")
 
@@ -20,7 +20,7 @@
 
     Prints one row per route and window of WINDOW_S seconds, and the accuracy of predicted waits.
     """
-    book = LogBook()
+    book = RequestLogs()
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as lines:
             book.read(lines)
@@ -31,7 +31,7 @@
 
 
 @app.command(name="request")
-def request_story(request: str, *paths: Path) -> None:
+def request_trace(request: str, *paths: Path) -> None:
     """Print the route, routers, backends and zones of REQUEST, with times and whether it was late.
 
     PATHS are log files of routers, or directories with *.log files. REQUEST is the caller's id.
@@ -39,7 +39,7 @@
     files = log_files(paths)
     found = stories(request, files)
     for story in found:
-        print(story_text(story))
+        print(trace_text(story))
     if not found:
         print(
             f"no line names {request} in {len(files)} files; check whether older logs are available"
--- a/src/yokedock/process/log_explain.py
+++ b/src/yokedock/process/log_explain.py
@@ -104,7 +104,7 @@
     cause: Cause | None
 
 
-class LogBook:
+class RequestLogs:
     """The log lines read so far, by request."""
 
     def __init__(self) -> None:
@@ -232,7 +232,7 @@
     return format_table(header, rows)
 
 
-def prediction_text(logs: LogBook) -> str:
+def prediction_text(logs: RequestLogs) -> str:
     """Return how accurately waits for decode capacity were predicted."""
     waits = [
         wait
--- a/src/yokedock/process/request_intake.py
+++ b/src/yokedock/process/request_handler.py
@@ -75,7 +75,7 @@
         self._follower = follower
         self._dialect = dialect
         self._generations = generations
-        self._opaque = unary
+        self._unary = unary
         self._guard = guard
         self._metrics = metrics
         self._stop = stop
@@ -119,7 +119,7 @@
         if call.service.engine is not None and call.terms.generation is not None:
             await self._generations.serve(call)
         else:
-            await self._opaque.serve(call)
+            await self._unary.serve(call)
 
     def _route(self, request: CallerRequest, answer: ResponseWriter) -> RoutedCall:
         index = self._follower.index
--- a/src/yokedock/process/request_story.py
+++ b/src/yokedock/process/request_trace.py
@@ -113,7 +113,7 @@
         at = content.find(wanted, end)
 
 
-def story_text(trace: RequestTrace) -> str:
+def trace_text(trace: RequestTrace) -> str:
     """Return the trace of a request at one router as text."""
     end, stream = trace.end(), trace.stream()
     lines = [f"router log {trace.file}"]
--- a/src/yokedock/process/role_balancer.py
+++ b/src/yokedock/process/role_balancer.py
@@ -31,7 +31,7 @@
 MAX_CHANGING_SHARE = 0.02
 """Share of the engines that may change roles simultaneously while streams are being generated, at
 least one: an engine is unavailable while it changes its role."""
-MOST_ORDERS = 16
+MAX_ORDERS = 16
 """Maximum number of simultaneous orders. It is this high because the roles of a large fleet must be
 set before its first traffic."""
 FENCED_STATUS = 412
@@ -110,8 +110,8 @@
     def _max_orders(self, engines: list[Backend], changing: int) -> int:
         """Return how many engines may be ordered to change now, besides those that are changing."""
         if self._is_idle(engines):
-            return MOST_ORDERS
-        return min(MOST_ORDERS, max(1, round(MAX_CHANGING_SHARE * len(engines))) - changing)
+            return MAX_ORDERS
+        return min(MAX_ORDERS, max(1, round(MAX_CHANGING_SHARE * len(engines))) - changing)
 
     def _is_idle(self, engines: list[Backend]) -> bool:
         """Return whether no engine has a stream."""
--- a/src/yokedock/process/router.py
+++ b/src/yokedock/process/router.py
@@ -25,17 +25,17 @@
     NotFound,
     NotReady,
 )
-from yokedock.process.fleet_talk import GossipComponents, GossipHandler
+from yokedock.process.gossip_handler import GossipComponents, GossipHandler
 from yokedock.process.leadership import Leadership
-from yokedock.process.request_intake import RequestHandler, StopState
+from yokedock.process.request_handler import RequestHandler, StopState
 from yokedock.process.role_balancer import RoleBalancer
+from yokedock.process.router_maintenance import MaintainedTables, RouterMaintenance
 from yokedock.process.router_metrics import RouterMetrics
 from yokedock.process.router_settings import RouterSettings
-from yokedock.process.router_upkeep import MaintainedTables, RouterMaintenance
 from yokedock.process.state_exchange import STATE_PATH, StateExchange
 from yokedock.process.state_follower import StateFollower
-from yokedock.process.wake_watch import SuspensionMonitor
-from yokedock.process.watch_duty import WatchDuty
+from yokedock.process.suspension_monitor import SuspensionMonitor
+from yokedock.process.watcher_selection import WatcherSelection
 from yokedock.request.backend_exchange import BackendExchanges
 from yokedock.request.backend_gossip import BackendGossip
 from yokedock.request.backend_incarnation import Backend
@@ -99,7 +99,7 @@
             gossip_handler.apply_state,
             gossip_handler.drop_state_of,
         )
-        watcher_selection = WatchDuty(own_address, gossip_handler.source_contacts)
+        watcher_selection = WatcherSelection(own_address, gossip_handler.source_contacts)
         self._follower = StateFollower(source, self._registry, watcher_selection)
         self._exchange = StateExchange(self._follower, int(port), self._gossip.alive)
         bounds = RetryBounds(
@@ -126,7 +126,7 @@
         self._metrics = RouterMetrics()
         self._stop = StopState()
         lookup = CacheLookup(self._registry, self._pool, dialect)
-        self._intake = RequestHandler(
+        self._request_handler = RequestHandler(
             self._follower,
             dialect,
             GenerationCalls(
@@ -188,7 +188,7 @@
                 self._stop,
             )
         )
-        self._wake = SuspensionMonitor(self._pool)
+        self._suspension_monitor = SuspensionMonitor(self._pool)
         self._connect_change_callbacks()
 
     def _connect_change_callbacks(self) -> None:
@@ -218,7 +218,7 @@
         if self.settings.mechanisms.role_changes:
             self._start_supervised("roles", lambda: self._roles.run(self._table))
         self._start_supervised("upkeep", self._maintenance.run)
-        self._start_supervised("wake", self._wake.run)
+        self._start_supervised("wake", self._suspension_monitor.run)
         _log.info("started", name=self.settings.process.name, listen=callers.listen)
         await stop.wait()
         await self._shut_down()
@@ -252,13 +252,15 @@
         self._stop.final_answers_s = (
             boot_time_s() + self.settings.stop.grace_s - FINAL_ANSWERS_MARGIN_S
         )
-        _log.info("stopping", active=self._intake.active, connections=len(self._connections))
+        _log.info(
+            "stopping", active=self._request_handler.active, connections=len(self._connections)
+        )
         for connection in self._connections:
             connection.is_closing = True
         await asyncio.sleep(CONNECTION_DRAIN_S)
         for connection in list(self._connections):
             connection.close_if_idle()
-        while self._intake.active and boot_time_s() < self._stop.final_answers_s:
+        while self._request_handler.active and boot_time_s() < self._stop.final_answers_s:
             await asyncio.sleep(STOP_POLL_S)
         self._stop.is_ending = True
         for connection in list(self._connections):
@@ -306,7 +308,7 @@
     async def _accept_caller(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        connection = CallerConnection(reader, writer, self._intake.answer, self._limits)
+        connection = CallerConnection(reader, writer, self._request_handler.answer, self._limits)
         connection.is_closing = self._stop.is_stopping
         self._connections.add(connection)
         try:
@@ -356,7 +358,7 @@
     def _gauges(self) -> dict[str, float]:
         """Return the current values of all gauges."""
         return {
-            "active": self._intake.active,
+            "active": self._request_handler.active,
             "connections": len(self._connections),
             "waiting_in_time": self._placement.waiting_in_time(),
             "routers_known": self._gossip.known(),
@@ -375,7 +377,7 @@
             **self._ledger.levels(),
             **self._poison.levels(),
             **self._registry.levels(),
-            **self._wake.levels(),
+            **self._suspension_monitor.levels(),
             **self._maintenance.sizes(),
         }
 
--- a/src/yokedock/process/router_metrics.py
+++ b/src/yokedock/process/router_metrics.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from ddsketch import LogCollapsingLowestDenseDDSketch
 
-MOST_KEPT = 8192
+MAX_KEPT = 8192
 """Maximum number of buffered values, 0.9 MB; further ones are dropped and counted."""
 LIBRARY_LOAD_THRESHOLD = 1024
 """The library is imported once this many values are buffered, so that the import does not delay a
@@ -28,16 +28,16 @@
 """Values folded without yielding to the event loop: 0.9 ms on a 2 GHz core."""
 LINES_PER_BATCH = 100
 """Lines of a page generated without yielding to the event loop: 0.6 ms on a 2 GHz core."""
-MOST_ROUTES = 1000
+MAX_ROUTES = 1000
 """Maximum number of routes with separate metrics; further ones are counted together."""
 NO_ROUTE = "none"
 """Label of requests that no route matched."""
-GONE_ROUTES = "gone"
+REMOVED_ROUTES = "gone"
 """Label of routes that were removed from the configuration: their outcomes are summed, their
 latencies dropped."""
 OTHER_ROUTES = "other"
-"""Label of routes beyond ``MOST_ROUTES``."""
-AGGREGATE_LABELS = frozenset({NO_ROUTE, GONE_ROUTES, OTHER_ROUTES})
+"""Label of routes beyond ``MAX_ROUTES``."""
+AGGREGATE_LABELS = frozenset({NO_ROUTE, REMOVED_ROUTES, OTHER_ROUTES})
 RELATIVE_ERROR = 0.02
 """Maximum relative error of a quantile."""
 MAX_BINS = 1024
@@ -71,7 +71,7 @@
 
     def record(self, route: str, measure: str, seconds: float) -> None:
         """Record a duration of a route."""
-        if len(self._buffer) >= MOST_KEPT:
+        if len(self._buffer) >= MAX_KEPT:
             self._dropped += 1
             return
         self._buffer.append((self._label(route), measure, seconds))
@@ -80,10 +80,12 @@
         """Drop the latencies of all other routes, which were removed, and sum up their counts."""
         kept = AGGREGATE_LABELS.union(routes)
         for route in self._outcomes.keys() - kept:
-            removed = self._outcomes.setdefault(GONE_ROUTES, collections.Counter())
+            removed = self._outcomes.setdefault(REMOVED_ROUTES, collections.Counter())
             removed.update(self._outcomes.pop(route))
         for service, route, zone in [key for key in self._late if key[1] not in kept]:
-            self._late[GONE_ROUTES, GONE_ROUTES, zone] += self._late.pop((service, route, zone))
+            self._late[REMOVED_ROUTES, REMOVED_ROUTES, zone] += self._late.pop(
+                (service, route, zone)
+            )
         for key in [key for key in self._histograms if key[0] not in kept]:
             del self._histograms[key]
 
@@ -120,11 +122,7 @@
 
     def _label(self, route: str) -> str:
         """Return the label under which a route is counted."""
-        if (
-            route in self._outcomes
-            or route in AGGREGATE_LABELS
-            or len(self._outcomes) < MOST_ROUTES
-        ):
+        if route in self._outcomes or route in AGGREGATE_LABELS or len(self._outcomes) < MAX_ROUTES:
             return route
         return OTHER_ROUTES
 
--- a/src/yokedock/process/state_follower.py
+++ b/src/yokedock/process/state_follower.py
@@ -14,7 +14,12 @@
 from yokedock.errors import PlatformUnavailable
 from yokedock.process.interruptible_call import InterruptibleCall
 from yokedock.process.state_news import RecentNews
-from yokedock.process.watch_duty import MS_PER_SECOND, NEVER, UNSHARED_WATCH_S, WatchDuty
+from yokedock.process.watcher_selection import (
+    MS_PER_SECOND,
+    NEVER,
+    UNSHARED_WATCH_S,
+    WatcherSelection,
+)
 from yokedock.request.backend_registry import BackendRegistry
 from yokedock.request.list_restoration import MISSING_GRACE_S, AppliedHistory
 from yokedock.router_errors import HistoryUnavailable
@@ -51,7 +56,7 @@
         self,
         source: StateSource,
         registry: BackendRegistry,
-        watcher_selection: WatchDuty | None = None,
+        watcher_selection: WatcherSelection | None = None,
     ) -> None:
         """Follow ``source``; ``watcher_selection`` decides who watches it if it is shared."""
         self._source = source
@@ -136,7 +141,7 @@
         """Return recent changes reported by the source, for the other routers."""
         return self._recent_news.unexpired()
 
-    def take_news(self, changes: tuple[StateNews, ...]) -> None:
+    def apply_news(self, changes: tuple[StateNews, ...]) -> None:
         """Apply changes that another router received, if this one has applied all earlier ones.
 
         Otherwise the state exchange detects that the other router is ahead, and fetches its state.
--- a/src/yokedock/process/watch_duty.py
+++ b/src/yokedock/process/watcher_selection.py
@@ -5,7 +5,7 @@
 once.
 
 Each router reports how long ago the source responded to it, and watches the source itself unless
-``MOST_WATCHERS`` routers that precede it in a fixed order had a response within ``FRESH_S``. A
+``MAX_WATCHERS`` routers that precede it in a fixed order had a response within ``FRESH_S``. A
 watcher that has ended, is cut off or is rejected by the source is thus replaced within that time
 plus the time to detect its silence. No agreement is required: where the routers' views differ, a
 few more than necessary watch.
@@ -21,7 +21,7 @@
 
 from yokedock.base.clock import boot_time_s
 
-MOST_WATCHERS = 6
+MAX_WATCHERS = 6
 """Number of routers that watch. If a third of the machines is cut off from the source
 simultaneously, the probability that all watchers are among them is 1/700. In fleets up to this size
 all watch."""
@@ -62,7 +62,7 @@
         return self.age_ms / MS_PER_SECOND + now_s - self.heard_s
 
 
-class WatchDuty:
+class WatcherSelection:
     """Decides whether this router watches the source, from the reports of the others."""
 
     def __init__(
@@ -85,7 +85,7 @@
             is_fresh = age_s is not None and age_s <= FRESH_S and not contact.is_leaving
             if is_fresh and _rank(contact.router) < self._rank:
                 before += 1
-                if before >= MOST_WATCHERS:
+                if before >= MAX_WATCHERS:
                     return False
         return True
 
@@ -96,7 +96,7 @@
         source.
         """
         staying = (contact for contact in self._contacts() if not contact.is_leaving)
-        return sum(_rank(contact.router) < self._rank for contact in staying) < MOST_WATCHERS
+        return sum(_rank(contact.router) < self._rank for contact in staying) < MAX_WATCHERS
 
     def read_delay_range_s(self) -> tuple[float, float]:
         """Return the shortest and longest wait for the state of another router, in seconds.
@@ -110,7 +110,7 @@
     def watch_s(self) -> float:
         """Return the maximum duration of a watch."""
         others = sum(1 for _ in self._contacts())
-        return UNSHARED_WATCH_S if others < MOST_WATCHERS else WATCH_S
+        return UNSHARED_WATCH_S if others < MAX_WATCHERS else WATCH_S
 
     def min_source_age_s(self) -> float | None:
         """Return how long ago the source last responded to another router, None if it did not."""
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -48,7 +48,7 @@
 """Requests in one datagram, those with the most crashes first: 25 bytes each."""
 MAX_CRASHES_KEPT = 8
 """Crashes kept of one request."""
-MOST_KEPT = 2_048
+MAX_KEPT = 2_048
 """Requests kept, 0.6 MB; those with the oldest last crash are dropped first."""
 
 
@@ -241,7 +241,7 @@
         """Drop requests whose last crash is long ago, and the oldest beyond the maximum number."""
         oldest_s = self._clock() - FORGOTTEN_S
         by_age = sorted(self._suspects.values(), key=Suspect.last_s)
-        surplus = max(0, len(by_age) - MOST_KEPT)
+        surplus = max(0, len(by_age) - MAX_KEPT)
         for position, suspect in enumerate(by_age):
             if position < surplus or suspect.last_s() < oldest_s:
                 self._drop(suspect)
