--- a/src/yokedock/base/read_first_timeout.py
+++ b/src/yokedock/base/read_first_timeout.py
@@ -46,9 +46,9 @@
 
     def _defer_expiry(self) -> None:
         """Defer the expiry, so that the tasks whose data was read in this iteration run first."""
-        self._handle = self._loop.call_soon(self._strike)
+        self._handle = self._loop.call_soon(self._expire)
 
-    def _strike(self) -> None:
+    def _expire(self) -> None:
         self._handle = None
         self._limit.reschedule(self._loop.time())
 
--- a/src/yokedock/connection/header_dialect.py
+++ b/src/yokedock/connection/header_dialect.py
@@ -196,12 +196,12 @@
             raise BadRequest(
                 f"{self._names.tokens} must be PROMPT_TOKENS,MAX_OUTPUT_TOKENS; send two integers"
             )
-        parts = self._parts(head.get(self._lowercase_names["parts"]) or "")
+        parts = self._parse_prompt_parts(head.get(self._lowercase_names["parts"]) or "")
         hint = self._parse_rounded(head, "output_hint")
         model = head.get(self._lowercase_names["model"]) or ""
         return GenerationParameters(model, prompt_tokens, max_output_tokens, parts, hint)
 
-    def _parts(self, text: str) -> tuple[PromptPart, ...]:
+    def _parse_prompt_parts(self, text: str) -> tuple[PromptPart, ...]:
         found = []
         for part in filter(None, text.split(",")):
             part_id, _, text = part.strip().rpartition(":")
--- a/src/yokedock/connection/router_gossip.py
+++ b/src/yokedock/connection/router_gossip.py
@@ -38,7 +38,7 @@
 """Minimum interval between datagrams; changes within it are sent together."""
 SILENT_S = 1.5
 """A router that has not been heard for this long counts as down."""
-FORGOTTEN_S = 60.0
+ROUTER_EXPIRY_S = 60.0
 """A router that has not been heard for this long gets no more datagrams, unless it is a seed."""
 STARTUP_PERIOD_S = 2.0
 STARTUP_INTERVAL_S = 0.1
@@ -106,7 +106,7 @@
         self._resync_requested_s = -math.inf
         self._started_s = boot_time_s()
         self._transport: asyncio.DatagramTransport | None = None
-        self._inbox = DatagramInbox(self._take_in, self._recover_from_stall)
+        self._inbox = DatagramInbox(self._apply_state, self._recover_from_stall)
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(RouterState)
 
@@ -187,7 +187,7 @@
             self._is_resync_pending = True
         self._speak()
 
-    def _take_in(self, data: bytes, address: str, told_s: float) -> None:
+    def _apply_state(self, data: bytes, address: str, told_s: float) -> None:
         """Apply a router's state as of ``told_s``; data that cannot be decoded is dropped."""
         try:
             state = self._decoder.decode(data)
@@ -285,7 +285,7 @@
                 _log.info("router silent", address=other.address, name=other.state.name)
                 self._on_silent(other)
                 other.state = None
-            if last_s < now_s - FORGOTTEN_S and other.address not in self._seeds:
+            if last_s < now_s - ROUTER_EXPIRY_S and other.address not in self._seeds:
                 del self._others[other.address]
 
 
--- a/src/yokedock/process/agent.py
+++ b/src/yokedock/process/agent.py
@@ -88,7 +88,7 @@
             self.name,
             self.incarnation_ms,
             self._key,
-            self._frame_arrived,
+            self._handle_frame,
             self._connection_closed,
         )
         self.address = self._listener.address
@@ -105,7 +105,7 @@
         self.backend: Backend = self._make_backend()
         self._admin = AdminServer(settings.admin.listen, self.status, Histograms())
         self.admin_address = self._admin.address
-        self.store.on_adopt(self._adopted)
+        self.store.on_adopt(self._handle_bundle)
 
     def _make_backend(self) -> Backend:
         backend = self.settings.backend
@@ -208,7 +208,7 @@
 
     # --- Frames from peers ---
 
-    def _frame_arrived(self, connection: PeerConnection, frame: Frame) -> None:
+    def _handle_frame(self, connection: PeerConnection, frame: Frame) -> None:
         self.check_pause()
         with self._lease_actors_lock:
             holder = self._lease_actors.get(connection.name)
@@ -343,7 +343,7 @@
 
     # --- Bundle and machine list ---
 
-    def _adopted(self, bundle: Bundle) -> None:
+    def _handle_bundle(self, bundle: Bundle) -> None:
         engine = bundle.engines.get(self.name)
         if engine is None or self._engine_backend is None or self._role_manager is None:
             return
--- a/src/yokedock/process/caller_http.py
+++ b/src/yokedock/process/caller_http.py
@@ -140,7 +140,7 @@
                     writer = EventStreamWriter(request, answer_format, request_id)
                     self._stream(request, context, order, writer, body.wants_usage())
                     return None
-                return self._whole(request, context, order, answer_format)
+                return self._serve_buffered(request, context, order, answer_format)
         except Refused:
             self._record(caller, Measure.REFUSAL_US, (boot_time_s() - arrived_s) * 1e6)
             raise
@@ -170,7 +170,7 @@
         finally:
             self._record_times(context, stream)
 
-    def _whole(
+    def _serve_buffered(
         self,
         request: HttpRequest,
         context: RequestContext,
--- a/src/yokedock/process/engine_watch.py
+++ b/src/yokedock/process/engine_watch.py
@@ -78,7 +78,7 @@
         super().__init__(name="reconciler", daemon=True)
         self._engine = engine
         self._backend = backend
-        self._suspects: set[str] = set()
+        self._unknown_before: set[str] = set()
         self._cache_position = 0
         self._stopping = threading.Event()
 
@@ -88,7 +88,7 @@
 
     def run(self) -> None:
         """Cancel all leftover requests, then reconcile periodically until stopped."""
-        while not self._stopping.is_set() and not self._sweep():
+        while not self._stopping.is_set() and not self._cancel_leftovers():
             self._stopping.wait(RECONNECT_DELAY_S)
         while not self._stopping.wait(RECONCILE_INTERVAL_S):
             try:
@@ -97,7 +97,7 @@
             except YokedockError as error:
                 _log.debug("engine reconciliation failed", error=error.code)
 
-    def _sweep(self) -> bool:
+    def _cancel_leftovers(self) -> bool:
         """Cancel all requests at the engine and read its role; return whether both succeeded."""
         try:
             for item in self._engine.held().items:
@@ -113,10 +113,10 @@
     def _reconcile(self) -> None:
         held = {item.request for item in self._engine.held().items}
         unknown = self._backend.unknown_attempts(held)
-        for request in unknown & self._suspects:
+        for request in unknown & self._unknown_before:
             _log.warning("cancelling what nobody ordered", attempt=request)
             self._backend.cancel_unknown(request)
-        self._suspects = unknown
+        self._unknown_before = unknown
 
     def _read_cache_events(self) -> None:
         events = self._engine.cache_events(self._cache_position)
--- a/src/yokedock/process/gateway.py
+++ b/src/yokedock/process/gateway.py
@@ -114,7 +114,7 @@
 
     def start(self) -> None:
         """Start all threads and begin to serve callers."""
-        self.store.on_adopt(self._adopted)
+        self.store.on_adopt(self._handle_bundle)
         self._watch.start()
         self._watchdog.start()
         if self._machine_watch is not None:
@@ -228,7 +228,7 @@
 
     # --- Bundle and machine list ---
 
-    def _adopted(self, bundle: Bundle) -> None:
+    def _handle_bundle(self, bundle: Bundle) -> None:
         self._update_peers(bundle)
         self.peers.heartbeat_now()
 
@@ -252,10 +252,10 @@
         ]
         self.peers.set_peers(wanted)
 
-    def _address_of(self, name: str, stated: str) -> str:
+    def _address_of(self, name: str, bundle_address: str) -> str:
         """Return an agent's address from the machine list, or from the bundle if it has none."""
         machine = self._machines.get(name)
-        return machine.agent if machine is not None and machine.agent else stated
+        return machine.agent if machine is not None and machine.agent else bundle_address
 
     def _peers_of_model(self, model: str) -> list[AgentPeerHandle]:
         engines = self.store.current().engines
--- a/src/yokedock/process/peer_lease_actor.py
+++ b/src/yokedock/process/peer_lease_actor.py
@@ -177,7 +177,7 @@
             case BundleSections():
                 self._context.sections_arrived(message.contents)
             case _:
-                self._order(connection, frame)
+                self._accept_command(connection, frame)
 
     def _is_current(self, connection: PeerConnection) -> bool:
         """Return whether the connection is the peer's newest; frames of older ones are ignored."""
@@ -225,7 +225,7 @@
         )
         self._connection.send(reply)
 
-    def _order(self, connection: PeerConnection, frame: Frame) -> None:
+    def _accept_command(self, connection: PeerConnection, frame: Frame) -> None:
         order = frame.message
         try:
             if not self._lease.is_valid():
@@ -237,9 +237,9 @@
         if isinstance(order, _OWNING_ORDERS):
             self._lease.attempts.add(order.attempt)
         if self._backend.is_quick(order):
-            self._run(connection, frame)
+            self._execute(connection, frame)
         else:
-            self._workers.submit(self._run, connection, frame)
+            self._workers.submit(self._execute, connection, frame)
 
     def _check_version(self, connection: PeerConnection, order: AnyMessage) -> None:
         """Reject a command made under an older bundle, and offer the newer bundle."""
@@ -254,7 +254,7 @@
         if version == 0 or (order.version > version and isinstance(order, ServiceCall)):
             raise NotReady("the agent has not adopted the sender's bundle version yet; retry", 0.2)
 
-    def _run(self, connection: PeerConnection, frame: Frame) -> None:
+    def _execute(self, connection: PeerConnection, frame: Frame) -> None:
         """Execute one command; runs on a worker thread if it has to wait for the backend."""
         try:
             reply = self._backend.run(frame.message, self._lease, self._send_frame)
--- a/src/yokedock/process/settings.py
+++ b/src/yokedock/process/settings.py
@@ -208,14 +208,14 @@
 ) -> GatewaySettings | AgentSettings:
     problems = Problems()
     parser = read_ini(path, problems)
-    wanted = [field.name for field in dataclasses.fields(kind)]
+    section_names = [field.name for field in dataclasses.fields(kind)]
     if not problems.lines:
         for title in parser.sections():
-            if title not in wanted:
-                remedy = f"use {', '.join(f'[{name}]' for name in wanted)}"
+            if title not in section_names:
+                remedy = f"use {', '.join(f'[{name}]' for name in section_names)}"
                 problems.add(f"[{title}]", "unknown section", remedy)
     sections: dict[str, Any] = {}
-    for name in wanted:
+    for name in section_names:
         if name not in parser and name not in _OPTIONAL:
             problems.add(f"[{name}]", "missing section", "add the section; see examples/")
             continue
@@ -258,12 +258,12 @@
 
 def _listens_on_loopback_only(sections: dict[str, Any]) -> bool:
     """Return whether all listen addresses of the process are loopback addresses."""
-    listens = [
+    listen_addresses = [
         section.listen
         for section in (sections.get("caller"), sections.get("peers"), sections.get("admin"))
         if section is not None and section.listen
     ]
-    hosts = [listen.rpartition(":")[0].strip("[]") for listen in listens]
+    hosts = [listen.rpartition(":")[0].strip("[]") for listen in listen_addresses]
     try:
         return all(ipaddress.ip_address(host).is_loopback for host in hosts)
     except ValueError:
--- a/src/yokedock/request/admission.py
+++ b/src/yokedock/request/admission.py
@@ -85,19 +85,19 @@
 
     def __init__(self, reserve: float = 10.0) -> None:
         """Start with ``reserve`` retries, which is also the capacity of the bucket."""
-        self._most = reserve
-        self._left = reserve
+        self._capacity = reserve
+        self._tokens = reserve
         self._lock = threading.Lock()
 
     def add_request(self, share: float) -> None:
         """Add the share of a retry that one request earns."""
         with self._lock:
-            self._left = min(self._most, self._left + share)
+            self._tokens = min(self._capacity, self._tokens + share)
 
     def take(self) -> bool:
         """Take one retry; return whether one was available."""
         with self._lock:
-            if self._left < 1:
+            if self._tokens < 1:
                 return False
-            self._left -= 1
+            self._tokens -= 1
             return True
--- a/src/yokedock/request/cache_lookup.py
+++ b/src/yokedock/request/cache_lookup.py
@@ -26,7 +26,7 @@
 LISTING_TTL_S = 0.4
 """A listing is shared by all requests within this time: the callers of a router that crashed
 reconnect all at once."""
-KEPT_SHARE = 0.5
+MIN_CACHED_SHARE = 0.5
 """An engine that has cached a smaller share of a prompt is not preferred over others."""
 BLOCK_SLACK = 64
 """Tokens at the end of a part that a listing may omit, since engines cache whole blocks only."""
@@ -58,7 +58,8 @@
         self._lists: dict[str, tuple[float, asyncio.Future[dict[str, int]]]] = {}
 
     async def engines_with_prompt(self, call: RoutedCall) -> set[str]:
-        """Return the names of engines with at least ``KEPT_SHARE`` of the call's prompt cached."""
+        """Return the names of engines with at least ``MIN_CACHED_SHARE`` of the call's prompt
+        cached."""
         terms = call.terms.generation
         if terms is None or not terms.parts:
             return set()
@@ -69,7 +70,7 @@
         lists = await asyncio.gather(
             *(asyncio.shield(self._listing_of(engine)) for engine in engines)
         )
-        least = KEPT_SHARE * terms.prompt_tokens
+        least = MIN_CACHED_SHARE * terms.prompt_tokens
         found = {
             engine.name
             for engine, listed in zip(engines, lists, strict=True)
--- a/src/yokedock/request/engine_performance.py
+++ b/src/yokedock/request/engine_performance.py
@@ -79,14 +79,14 @@
             measured = SmoothedValue(value, now_s)
             self._measured[engine] = measured
         else:
-            self._take_out(measured.value)
+            self._remove(measured.value)
             measured.note(value, now_s)
-        self._take_in(measured.value)
+        self._insert(measured.value)
 
     def keep_only(self, engines: Collection[str]) -> None:
         """Remove the values of all other engines."""
         for engine in [name for name in self._measured if name not in engines]:
-            self._take_out(self._measured.pop(engine).value)
+            self._remove(self._measured.pop(engine).value)
 
     def expected(self, engine: str, now_s: float) -> float:
         """Return the value of an engine, decayed towards the median with its age."""
@@ -95,11 +95,11 @@
             return self.typical
         return measured.decayed_towards(self.typical, now_s, self._half_life_s)
 
-    def _take_in(self, value: float) -> None:
+    def _insert(self, value: float) -> None:
         bisect.insort(self._ordered, value)
         self._update_median()
 
-    def _take_out(self, value: float) -> None:
+    def _remove(self, value: float) -> None:
         del self._ordered[bisect.bisect_left(self._ordered, value)]
         self._update_median()
 
--- a/src/yokedock/request/generation_dispatch.py
+++ b/src/yokedock/request/generation_dispatch.py
@@ -33,7 +33,7 @@
 """A resumable stream without data for this long is continued on another engine."""
 MIN_ATTEMPT_TIME_S = 0.1
 """Minimum time left for a retry on another engine: connect, prefill and one decode step."""
-KEPT_SHARE = 0.8
+HANDLE_TTL_SHARE = 0.8
 """Share of an engine's retention time for a prefill result during which the result is used."""
 RELEASE_TIMEOUT_S = 1.0
 """Timeout for connecting and for the response, each: unreleased KV memory expires by itself."""
@@ -91,7 +91,7 @@
             handle_ttl_s = traits.handle_s if traits else 0.0
             state.source_engine = engine
             state.source = f"{engine.entry.address}/{result.handle}"
-            state.source_expires_s = boot_time_s() + KEPT_SHARE * handle_ttl_s
+            state.source_expires_s = boot_time_s() + HANDLE_TTL_SHARE * handle_ttl_s
         except BackendRefused:
             state.prefills_refused += 1
             state.excluded_engines.add(engine.name)
--- a/src/yokedock/request/transfer_credit.py
+++ b/src/yokedock/request/transfer_credit.py
@@ -36,7 +36,7 @@
     def __init__(self, bytes_per_s: float, most: int) -> None:
         """``most`` transfers share a link of ``bytes_per_s``."""
         self._bytes_per_s = bytes_per_s
-        self._most = most
+        self._max_transfers = most
         self._lock = threading.Lock()
         self._waiting: list[WaitingTransfer] = []
         self._granted: dict[str, float] = {}
@@ -71,10 +71,10 @@
             for attempt in [a for a, ends_s in self._granted.items() if ends_s <= now]:
                 del self._granted[attempt]
             self._waiting = [w for w in self._waiting if w.give_up_s > now]
-            while self._waiting and len(self._granted) < self._most:
+            while self._waiting and len(self._granted) < self._max_transfers:
                 first = min(self._waiting, key=lambda w: self._rank(w, now))
                 self._waiting.remove(first)
-                fair_share_s = 4 * self._most * first.size / self._bytes_per_s
+                fair_share_s = 4 * self._max_transfers * first.size / self._bytes_per_s
                 self._granted[first.attempt] = now + fair_share_s + CREDIT_SLACK_S
                 chosen.append(first)
         for transfer in chosen:
--- a/src/yokedock/request/unary_call.py
+++ b/src/yokedock/request/unary_call.py
@@ -45,7 +45,7 @@
 
 An outage is expected to last as long again as it has lasted so far.
 """
-FORGOTTEN_S = 10.0
+OUTAGE_EXPIRY_S = 10.0
 """An outage that no call has met for this long is discarded as over or irrelevant."""
 RETRY_AFTER_JITTER = 1.5
 """Retry-after times are spread evenly between one and this many times the expected wait."""
@@ -218,7 +218,7 @@
         if wait_s:
             return wait_s * self._random.uniform(1.0, RETRY_AFTER_JITTER)
         now_s = boot_time_s()
-        for name in [n for n, o in self._outages.items() if now_s - o.last_s > FORGOTTEN_S]:
+        for name in [n for n, o in self._outages.items() if now_s - o.last_s > OUTAGE_EXPIRY_S]:
             del self._outages[name]
         outage = self._outages.setdefault(service, Outage(now_s))
         outage.last_s = now_s
--- a/src/yokedock/version/role_ladder.py
+++ b/src/yokedock/version/role_ladder.py
@@ -45,7 +45,7 @@
     )
 
 
-def desired_role(position: LadderPosition, prefill_share: float, present: str) -> str:
+def desired_role(position: LadderPosition, prefill_share: float, current_role: str) -> str:
     """Return the role of an engine, given the prefill share (0 to 1) of the total demand.
 
     The engine of rank k takes the prefill role if the share corresponds to more than
@@ -55,5 +55,5 @@
     engines = position.flexible + position.fixed_prefill + position.fixed_decode
     prefill_engines_needed = prefill_share * engines
     threshold = position.fixed_prefill + position.rank + 0.5
-    hysteresis = HYSTERESIS_SHARE if present == ROLE_DECODE else -HYSTERESIS_SHARE
+    hysteresis = HYSTERESIS_SHARE if current_role == ROLE_DECODE else -HYSTERESIS_SHARE
     return ROLE_PREFILL if prefill_engines_needed > threshold + hysteresis else ROLE_DECODE
