--- a/features/support/broken_engine_properties.py
+++ b/features/support/broken_engine_properties.py
@@ -1,7 +1,7 @@
-"""Which engines get work while one breaks every answer off, in a fleet of 68 in one process.
+"""Tests of engine choice while one engine cuts off every response, with 68 simulated routers.
 
-Pattern: an engine says that it is sound and resets what it gets. What was promised there is taken
-back at once, so that it looks emptier than all others, and 68 routers come to it one after another.
+The engine reports itself healthy and resets every request. The reservations there are released at
+once, so it appears idler than all others, and each of the 68 routers would send it a request.
 """
 
 import heapq
@@ -19,26 +19,26 @@
 
 ROUTERS = 68
 ARRIVALS_PER_S = 92.0
-"""A burst of 1.7 times the generations of the users' largest deployment, all routers together."""
+"""A burst of 1.7 times the load of the users' largest deployment, in total for all routers."""
 SPAN_S = 4.0
-BREAKS_AFTER_S = 0.037
-SILENCE_S = 0.45
-"""The silence after which an engine is taken for dark."""
+RESET_DELAY_S = 0.037
+SILENCE_TIMEOUT_S = 0.45
+"""Time without output after which an engine counts as silent."""
 NEWS_S = 0.02
-"""From a failure until the other routers know of it. Promises are known at once here."""
-READ_S = 0.1
-STREAM_S = 1.0
+"""Time from a failure until other routers know of it. Reservations are known at once here."""
+PREFILL_DURATION_S = 0.1
+STREAM_DURATION_S = 1.0
 
 
 class BrokenFleet:
-    """Routers that place generations; the engine called ``broken`` resets all that it gets."""
+    """Routers that place generations; the engine ``broken`` resets or ignores each request."""
 
     def __init__(self, seed, role, tells=True, falls_silent=False):
         self.clock = Clock()
         self.chance = random.Random(seed)
         self.tells = tells
         self.falls_silent = falls_silent
-        self.notice_s = SILENCE_S if falls_silent else BREAKS_AFTER_S
+        self.detection_delay_s = SILENCE_TIMEOUT_S if falls_silent else RESET_DELAY_S
         self.fleets = [DecisionFleet(FleetShape(2, 60), 0.3, seed) for _ in range(ROUTERS)]
         for fleet in self.fleets:
             fleet.registry._clock = self.clock
@@ -50,21 +50,21 @@
         self._numbers = itertools.count()
         self._events = []
 
-    def _at(self, due_s, act):
+    def _schedule(self, due_s, act):
         heapq.heappush(self._events, (due_s, next(self._numbers), act))
 
     def play(self):
-        """Let generations arrive for a while; return how many the broken engine got."""
+        """Simulate arrivals for ``SPAN_S``; return how many generations the broken engine received."""
         due_s = self.clock.now_s
         until_s = due_s + SPAN_S
         while (due_s := due_s + self.chance.expovariate(ARRIVALS_PER_S)) < until_s:
-            self._at(due_s, self._arrive)
+            self._schedule(due_s, self._handle_arrival)
         while self._events:
             self.clock.now_s, _, act = heapq.heappop(self._events)
             act()
         return self.lost
 
-    def _arrive(self):
+    def _handle_arrival(self):
         number = self.chance.randrange(ROUTERS)
         fleet = self.fleets[number]
         call = fleet.call(self.chance.randrange(10_000))
@@ -74,16 +74,16 @@
         is_lost = self.broken in (reads.name, placement.decode.name)
         now_s = self.clock.now_s
         ends = [
-            (READ_S, lambda: self.ledger.close_prefill(reading, is_done=False)),
-            (STREAM_S, lambda: self.ledger.close_stream(placement.reservation)),
+            (PREFILL_DURATION_S, lambda: self.ledger.close_prefill(reading, is_done=False)),
+            (STREAM_DURATION_S, lambda: self.ledger.close_stream(placement.reservation)),
         ]
         if is_lost:
             self.lost += 1
-            ends.append((self.notice_s, lambda: self._breaks(fleet)))
+            ends.append((self.detection_delay_s, lambda: self._record_detected_failure(fleet)))
         for after_s, end in ends:
-            self._at(now_s + (self.notice_s if is_lost else after_s), end)
+            self._schedule(now_s + (self.detection_delay_s if is_lost else after_s), end)
 
-    def _breaks(self, fleet):
+    def _record_detected_failure(self, fleet):
         backend = fleet.registry.get(self.broken)
         if self.falls_silent:
             backend.health.record_silence(self.clock.now_s)
@@ -92,16 +92,16 @@
         if self.tells:
             told = BackendGossip(fleet.registry).broken()
             assert set(told) == {self.broken}
-            self._at(self.clock.now_s + NEWS_S, lambda: self._tell(fleet, told))
+            self._schedule(self.clock.now_s + NEWS_S, lambda: self._tell(fleet, told))
 
-    def _tell(self, teller, told):
+    def _tell(self, sender, told):
         for fleet in self.fleets:
-            if fleet is not teller:
+            if fleet is not sender:
                 BackendGossip(fleet.registry).apply_remote_broken(told)
 
 
-def lost_at_broken(seed, role, tells=True, falls_silent=False):
-    """Return how many generations met the broken engine in four seconds."""
+def count_lost_at_broken(seed, role, tells=True, falls_silent=False):
+    """Return how many generations were placed on the broken engine in four seconds."""
     fleet = BrokenFleet(seed, role, tells, falls_silent)
     with (
         mock.patch.object(engine_costs, "boot_time_s", fleet.clock),
@@ -111,21 +111,21 @@
 
 
 def what_one_router_learned_all_know():
-    """An engine that breaks every answer gets a few generations, not one from each router."""
+    """An engine that resets every request gets a few generations, not one from each router."""
     for role, seed in itertools.product((PREFILL_ROLE, DECODE_ROLE), (1, 2, 3)):
-        alone, together = (lost_at_broken(seed, role, tells) for tells in (False, True))
+        alone, together = (count_lost_at_broken(seed, role, tells) for tells in (False, True))
         assert together <= 12 and together <= alone / 2, (role, seed, alone, together)
 
 
 def a_silence_is_known_to_all():
-    """An engine that went dark gets what comes before one router has noticed, and little more."""
+    """A silent engine gets few generations after the first router has detected the silence."""
     for role, seed in itertools.product((PREFILL_ROLE, DECODE_ROLE), (1, 2, 3)):
-        alone, together = (lost_at_broken(seed, role, tells, True) for tells in (False, True))
+        alone, together = (count_lost_at_broken(seed, role, tells, True) for tells in (False, True))
         assert together <= alone * 2 / 3, (role, seed, alone, together)
 
 
 def an_engine_that_recovered_is_used_again():
-    """Twelve seconds after the last failure that was told, an engine costs what others cost."""
+    """12 s after the last reported failure, the failure rate of an engine is below 0.08."""
     clock = Clock()
     fleet = DecisionFleet(FleetShape(2, 6), 0.3)
     fleet.registry._clock = clock
@@ -134,7 +134,9 @@
     assert abs(backend.health.failure_rate(clock.now_s) - 0.6) < 0.01
     BackendGossip(fleet.registry).apply_remote_broken({backend.name: 20})
     assert abs(backend.health.failure_rate(clock.now_s) - 0.6) < 0.01
-    assert BackendGossip(fleet.registry).broken() == {}, "what was only heard is not told on"
+    assert BackendGossip(fleet.registry).broken() == {}, (
+        "reports received from other routers are not forwarded"
+    )
     backend.health.record_answer(clock.now_s, 0.1, is_failure=False)
     assert backend.health.failure_rate(clock.now_s) < 0.5
     clock.now_s += 12.0
--- a/features/support/entry_properties.py
+++ b/features/support/entry_properties.py
@@ -1,4 +1,4 @@
-"""What a router takes from the store for a backend, and what it does not."""
+"""Tests of which store entries a router accepts as backends, and which it ignores."""
 
 import base64
 import json
@@ -21,7 +21,7 @@
     "models": [{"name": "m", "version": 1, "adapters": []}],
     "born": 1775526215105,
 }
-ODD_FIELDS = (
+INVALID_FIELDS = (
     ("state", "warming"),
     ("state", None),
     ("state", 1),
@@ -55,26 +55,28 @@
     ("born", 1.5),
     ("models", "m"),
 )
-OPTIONAL = {"stage", "models", "born"}
-ODD_BYTES = (b"", b"{", b"null", b"[]", b"7", b'"text"', b"\xff\xfe", b"{}" * 2, b"[" * 100_000)
+OPTIONAL_FIELDS = {"stage", "models", "born"}
+INVALID_BYTES = (b"", b"{", b"null", b"[]", b"7", b'"text"', b"\xff\xfe", b"{}" * 2, b"[" * 100_000)
 
 
 def item(instance, document, revision=1):
-    """Return an entry as the store holds it."""
+    """Return a stored item with this document as its value."""
     data = document if isinstance(document, bytes) else json.dumps(document).encode()
     return StoredItem(f"servers/{instance}", base64.b64encode(data).decode(), revision)
 
 
-def odd_documents():
-    """Return documents that name no backend."""
-    changed = [GOOD | {field: value} for field, value in ODD_FIELDS]
-    missing = [{k: v for k, v in GOOD.items() if k != field} for field in GOOD.keys() - OPTIONAL]
-    return [*changed, *missing, *ODD_BYTES]
+def invalid_documents():
+    """Return documents that are no valid backend entry."""
+    changed = [GOOD | {field: value} for field, value in INVALID_FIELDS]
+    missing = [
+        {k: v for k, v in GOOD.items() if k != field} for field in GOOD.keys() - OPTIONAL_FIELDS
+    ]
+    return [*changed, *missing, *INVALID_BYTES]
 
 
 def an_odd_entry_names_no_backend():
-    """From the moment it stands there until a good one does; all others hold."""
-    for odd in odd_documents():
+    """An invalid entry removes its backend until a valid one is written, and affects no other."""
+    for odd in invalid_documents():
         clock = Clock()
         registry = BackendRegistry("hall-one", clock)
         first = items_to_changes((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
@@ -89,7 +91,7 @@
 
 
 def an_odd_entry_of_a_whole_list_names_no_backend():
-    """A whole list with one odd entry ends the backend that the id named, and no other."""
+    """A full list with an invalid entry removes the backend of that identifier and no other."""
     registry = BackendRegistry("hall-one", Clock())
     first = items_to_changes((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
     registry.replace_all({entry.instance: entry for entry in first.changed})
@@ -99,8 +101,8 @@
 
 
 def a_good_entry_is_read_whole():
-    """Also without the fields that engines of plain services lack, or with unknown ones."""
-    plain = {k: v for k, v in GOOD.items() if k not in OPTIONAL}
+    """An entry is read with unknown fields, and without those that plain services do not have."""
+    plain = {k: v for k, v in GOOD.items() if k not in OPTIONAL_FIELDS}
     for document, born_ms, role in ((GOOD, GOOD["born"], "decode"), (plain, 0, "")):
         changes = items_to_changes(
             (item("i-1", document | {"unknown": {"a": 1}}),), SourcePosition(revision=1)
@@ -111,15 +113,15 @@
 
 
 def odd_bytes_keep_the_configuration():
-    """A configuration that cannot be read leaves the version before in force."""
-    for odd in (*ODD_BYTES, b'{"version": "x"}', b'{"routes": []}'):
+    """A configuration that cannot be decoded leaves the previous version in effect."""
+    for odd in (*INVALID_BYTES, b'{"version": "x"}', b'{"routes": []}'):
         document = StoredItem("op/config", base64.b64encode(odd).decode(), 9)
         changes = items_to_changes((document,), SourcePosition(revision=9))
         assert changes.table is None and changes.undecoded == ("op/config",), odd
 
 
 def odd_entries_are_logged_once():
-    """One line for each change of an entry, and little is kept of a flood."""
+    """Each invalid revision of an entry is logged once; the record of reported ones is bounded."""
     store = PlatformStore("127.0.0.1:1")
     odd = [item(f"i-{number}", b"?", number) for number in range(10_000)]
     assert sum(store.is_unreported(entry) for entry in odd) == len(odd)
--- a/features/support/gossip_properties.py
+++ b/features/support/gossip_properties.py
@@ -1,4 +1,4 @@
-"""Properties of how often routers speak, with a transport that only counts."""
+"""Tests of how often routers send gossip, with a transport that only records datagrams."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 
 PORT = 1
 SPAN_S = 2.6
-"""Longer than a router counts as young."""
+"""Longer than the period after its start in which a router counts as new."""
 
 
 class CountingTransport:
-    """Counts what is sent to each address."""
+    """Records the time and destination of each datagram."""
 
     def __init__(self):
         self.sent = []
@@ -27,12 +27,12 @@
 
 
 def state(name, sequence, routers=()):
-    """Return what an idle router tells."""
+    """Return the state that an idle router sends."""
     return RouterState(name, 1, sequence, 1, 1, False, 0, {}, "", 0, (), routers)
 
 
-class Speaker:
-    """One router that hears ``others`` at their own intervals."""
+class GossipingRouter:
+    """One router that receives the state of ``others`` routers every 0.2 s."""
 
     def __init__(self, others):
         self._others = [f"10.0.1.{n}" for n in range(others)]
@@ -47,7 +47,7 @@
         )
         self.gossip.connection_made(self.transport)
 
-    async def _hear_all(self):
+    async def _receive_from_all(self):
         sequence = 0
         while True:
             sequence += 1
@@ -57,8 +57,8 @@
             await asyncio.sleep(0.2)
 
     async def rounds(self, change_every_s=None):
-        """Return how often it spoke in a second, once it is no longer young."""
-        hearing = asyncio.create_task(self._hear_all())
+        """Return the datagrams per second to each other router, once it no longer counts as new."""
+        hearing = asyncio.create_task(self._receive_from_all())
         speaking = asyncio.create_task(self.gossip.run())
         await asyncio.sleep(SPAN_S)
         self.transport.sent.clear()
@@ -74,32 +74,32 @@
 
 
 def news_takes_the_place_of_a_heartbeat():
-    """A router that tells of a change every 0.2 s sends no heartbeat besides."""
-    rounds = asyncio.run(Speaker(5).rounds(change_every_s=0.2))
+    """A router that reports a change every 0.2 s sends no additional heartbeats."""
+    rounds = asyncio.run(GossipingRouter(5).rounds(change_every_s=0.2))
     assert rounds <= 5.6, rounds
 
 
 def a_large_fleet_speaks_less_often():
     """An idle router sends a heartbeat every 0.4 s in a large fleet, every 0.3 s in a small one."""
-    large = asyncio.run(Speaker(LARGE_FLEET).rounds())
-    small = asyncio.run(Speaker(5).rounds())
+    large = asyncio.run(GossipingRouter(LARGE_FLEET).rounds())
+    small = asyncio.run(GossipingRouter(5).rounds())
     assert 1.4 <= large <= 1.15 / LARGE_FLEET_INTERVAL_S, large
     assert 2.3 <= small <= 4.0, small
 
 
 def starting_together_floods_nobody():
-    """In its first second a router that hears 30 others sends no more than they do later."""
+    """In its first 1.2 s, a router among 30 others sends each at most six datagrams."""
 
     async def play():
-        speaker = Speaker(30)
-        hearing = asyncio.create_task(speaker._hear_all())
+        gossiping_router = GossipingRouter(30)
+        hearing = asyncio.create_task(gossiping_router._receive_from_all())
         await asyncio.sleep(0)
-        speaking = asyncio.create_task(speaker.gossip.run())
+        speaking = asyncio.create_task(gossiping_router.gossip.run())
         await asyncio.sleep(1.2)
         for task in (hearing, speaking):
             task.cancel()
         await asyncio.gather(hearing, speaking, return_exceptions=True)
-        return len(speaker.transport.sent) / 30
+        return len(gossiping_router.transport.sent) / 30
 
     rounds = asyncio.run(play())
     assert 1 <= rounds <= 6, rounds
--- a/features/support/life_properties.py
+++ b/features/support/life_properties.py
@@ -1,4 +1,4 @@
-"""What is believed of a backend that starts anew under the identifier that it had."""
+"""Tests of the state kept of a backend that restarts with the same identifier."""
 
 from unittest import mock
 
@@ -9,25 +9,25 @@
 
 
 def entry(instance, born_ms, role="decode", **fields):
-    """Return an entry of one life."""
+    """Return an entry of one incarnation of a backend."""
     return BackendEntry(instance, "llm", "127.0.0.1:1", role=role, born_ms=born_ms, **fields)
 
 
 def registry_of(*entries, clock=None):
-    """Return a registry that lists these."""
+    """Return a registry that lists ``entries``."""
     registry = BackendRegistry("", clock or Clock())
     registry.update(entries, ())
     return registry
 
 
 def only(registry, instance):
-    """Return the one life of a backend that may be used."""
+    """Return the only usable incarnation of a backend."""
     (found,) = [b for b in registry.usable("llm") if b.entry.instance == instance]
     return found
 
 
 def a_later_start_ends_what_was_believed():
-    """Health, load, connections and what was told hang on the life; others keep theirs."""
+    """A restart resets health, connections and reports for that backend and for no other."""
     clock = Clock()
     registry = registry_of(entry("a", 10), entry("b", 10), clock=clock)
     ended = []
@@ -47,12 +47,14 @@
     assert other.health.is_suspect(clock.now_s)
     assert after.entry.role == "prefill" and after.life != before.life
     BackendGossip(registry).apply_remote_broken({before.name: 90})
-    assert after.health.failure_rate(clock.now_s) == 0, "told of the life before"
+    assert after.health.failure_rate(clock.now_s) == 0, (
+        "the report is about the previous incarnation"
+    )
     assert registry.entries().keys() == {"a", "b"}
 
 
 def an_earlier_start_that_is_heard_late_changes_nothing():
-    """Neither an entry of the life before nor one without a start ends the newest life."""
+    """An entry with an earlier start time, or without one, does not end the latest incarnation."""
     registry = registry_of(entry("a", 20))
     newest = only(registry, "a")
     registry.update([entry("a", 10, is_leaving=True)], ())
@@ -63,7 +65,7 @@
 
 
 def lives_that_ended_are_dropped():
-    """A crash loop of an hour leaves as much behind as one of a minute."""
+    """The number of records stays bounded while a backend restarts every 5 s for an hour."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     for number in range(1, 700):
@@ -74,7 +76,7 @@
 
 
 def a_crash_loop_is_used_with_growing_care():
-    """Each quick restart costs more, and an engine that stays is soon used like any other."""
+    """The failure rate rises with each quick restart, and falls soon once the engine stays up."""
     clock = Clock()
     registry = registry_of(entry("a", 1), clock=clock)
     shares = []
@@ -87,11 +89,13 @@
     assert only(registry, "a").health.failure_rate(clock.now_s) < 0.13
     clock.now_s += 30.0
     registry.update([entry("a", 99)], ())
-    assert only(registry, "a").health.failure_rate(clock.now_s) == 0, "one restart is no loop"
+    assert only(registry, "a").health.failure_rate(clock.now_s) == 0, (
+        "a single restart is no crash loop"
+    )
 
 
 def a_restart_of_all_empties_no_fleet():
-    """60 engines that start anew at once, again and again, stay usable and cost the same."""
+    """60 engines that restart together several times stay usable, with equal failure rates."""
     clock = Clock()
     names = [f"e{number}" for number in range(60)]
     registry = registry_of(*(entry(name, 1) for name in names), clock=clock)
@@ -104,7 +108,7 @@
 
 
 def what_is_said_anew_is_not_a_new_life():
-    """An engine's own changes, its role among them, keep what is believed."""
+    """A change of an entry without a restart, such as a new role, keeps the incarnation."""
     registry = registry_of(entry("a", 5))
     backend = only(registry, "a")
     for changed in (entry("a", 5, role="prefill"), entry("a", 5, is_leaving=True), entry("a", 5)):
@@ -112,24 +116,26 @@
         assert registry.get("a@5") is backend and not backend.has_ended
     registry.update((), ["a"])
     registry.update([entry("a", 5)], ())
-    assert registry.get("a@5") is backend, "an entry that lapsed and came back"
+    assert registry.get("a@5") is backend, "an entry that expired and reappeared"
 
 
 def one_that_is_first_heard_of_as_it_leaves_is_no_last_resort():
-    """A router that starts does not know since when: seen 5.9 s after the list had said so.
+    """Guards against a new router that uses a leaving backend as a last resort, seen 5.9 s late.
 
-    The list that routers hand on leaves out whoever leaves, so that a new one met it only as it
-    read the source itself, took that moment for the first and used it as the last one there.
+    The list that routers send each other omits leaving backends. A new router therefore learned of
+    the backend only when it read the source itself, and dated the leaving state to that moment.
     """
     clock = Clock()
     known = registry_of(entry("a", 10), clock=clock)
     known.update([entry("a", 10, is_leaving=True)], ())
-    assert [b.name for b in known.usable("llm")] == ["a@10"], "known before: a last resort"
+    assert [b.name for b in known.usable("llm")] == ["a@10"], (
+        "known before it was leaving: usable as a last resort"
+    )
     newcomer = registry_of(clock=clock)
     newcomer.replace_all({"a": entry("a", 10, is_leaving=True)})
     assert not newcomer.usable("llm")
     newcomer.update([entry("a", 20, is_leaving=True)], ())
-    assert not newcomer.usable("llm"), "nor a later life"
+    assert not newcomer.usable("llm"), "nor is a later incarnation usable"
 
 
 LIFE_PROPERTIES = {
--- a/features/support/limit_properties.py
+++ b/features/support/limit_properties.py
@@ -1,7 +1,7 @@
-"""Limits that all routers share, over fleets of 1 to 370 routers, without a network.
+"""Tests of rate limits that all routers share, with fleets of 1 to 370 routers and no network.
 
-The users' bound is one and a half times what the limit allows in any 4 s, and five more. At least
-95 in 100 of what is granted must be used where it is asked for, wherever that is.
+The users' bound is 1.5 times the requests that the limit allows in any 4 s, plus five. At least
+95 % of the granted rate must be used, wherever in the fleet the demand is.
 """
 
 import itertools
@@ -19,8 +19,8 @@
 from yokedock.request.shared_rate import MIN_RATE_PER_S, SharedRate
 from yokedock.version.route_table import ServiceSpec
 
-LEAST_USED = 0.95
-SIZES = (1, 4, 8, 30)
+MIN_USED_SHARE = 0.95
+FLEET_SIZES = (1, 4, 8, 30)
 LIMITS = (0.5, 1.3, 5.0, 20.0)
 
 
@@ -29,19 +29,19 @@
 
 
 def require_kept(fleet, limit_per_s, case, since_s=None):
-    most = fleet.most_in_window(since_s)
+    most = fleet.max_in_window(since_s)
     assert most <= allowed(limit_per_s), (case, most, allowed(limit_per_s))
 
 
 def require_used(fleet, limit_per_s, span_s, case):
-    """Check that what was granted was used, but for the one permit that is under way."""
+    """Check that the granted rate was used, except for one permit that may be in flight."""
     used = fleet.used(fleet.now_s - span_s, fleet.now_s)
-    assert used + 1 >= LEAST_USED * limit_per_s * span_s, (case, used, limit_per_s * span_s)
+    assert used + 1 >= MIN_USED_SHARE * limit_per_s * span_s, (case, used, limit_per_s * span_s)
 
 
 def a_limit_is_kept_and_used_wherever_the_demand_is():
-    """With demand at one router, at half and at all, three times what is granted."""
-    for size in SIZES:
+    """Demand of three times the granted rate arrives at one router, at half of them or at all."""
+    for size in FLEET_SIZES:
         for limit_per_s in LIMITS:
             for share in (0.0, 0.5, 1.0):
                 fleet = LimitFleet(size, limit_per_s, seed=size)
@@ -53,9 +53,9 @@
 
 
 def a_limit_is_kept_and_used_by_68_and_370_routers():
-    """A backend that takes 1.3 requests a second is of use to all of them, and overrun by none."""
+    """Large fleets share 1.3 requests/s without overloading the backend or wasting permits."""
     for size, share in itertools.product((68, 370), (0.0, 0.5, 1.0)):
-        fleet = LimitFleet(size, 1.3, beat_s=2.0)
+        fleet = LimitFleet(size, 1.3, heartbeat_interval_s=2.0)
         fleet.demand(6.0, share)
         fleet.play(12.0)
         require_kept(fleet, 1.3, (size, share))
@@ -63,9 +63,9 @@
 
 
 def many_that_could_take_the_same_permit_do_not():
-    """Where other backends are there nobody waits, and all see a free permit at the same moment."""
+    """With other backends available no request waits, and all routers see a free permit at once."""
     for size, per_s in ((8, 400.0), (68, 2000.0), (370, 9400.0)):
-        fleet = LimitFleet(size, 1.3, beat_s=1.0)
+        fleet = LimitFleet(size, 1.3, heartbeat_interval_s=1.0)
         fleet.demand(per_s, may_wait=False)
         fleet.play(10.0)
         require_kept(fleet, 1.3, size)
@@ -73,7 +73,7 @@
 
 
 def a_limit_is_kept_with_lost_datagrams():
-    """One datagram in five is lost."""
+    """The limit is kept although 20 % of the datagrams are lost."""
     for size in (4, 8, 30):
         for limit_per_s in (1.3, 5.0):
             fleet = LimitFleet(size, limit_per_s, loss=0.2)
@@ -83,7 +83,7 @@
 
 
 def a_limit_is_kept_while_routers_start_anew():
-    """Routers are killed and start again one after the other, each without a memory."""
+    """The limit is kept while routers are killed and restarted in turn, without stored state."""
     for size in (1, 4, 8, 30):
         for seed in range(3):
             fleet = LimitFleet(size, 2.0, seed)
@@ -95,7 +95,7 @@
 
 
 def a_limit_is_kept_while_routers_stand_still():
-    """Routers freeze for some seconds and send again before they have read what came meanwhile."""
+    """Routers freeze for 2.5 s and send a request before they read the datagrams received since."""
     for size in (4, 8, 30):
         for seed in range(3):
             fleet = LimitFleet(size, 2.0, seed)
@@ -108,7 +108,7 @@
 
 
 def a_router_that_was_not_told_itself_keeps_to_the_limit():
-    """It hears of it from the others before its first answer."""
+    """The other routers report the limit to it before its first response."""
     fleet = LimitFleet(8, 2.0)
     fleet.demand(20.0, share=0.5)
     fleet.play(2.0)
@@ -121,14 +121,14 @@
 
 
 def limits_that_change_are_kept():
-    """A limit falls to a twentieth, rises again, and changes twice a second."""
+    """The limit drops to a twentieth, is restored, and then changes twice a second."""
     fleet = LimitFleet(8, 20.0)
     fleet.demand(60.0)
     fleet.play(6.0)
     fleet.limit_per_s = 1.0
-    fell_s = fleet.now_s
+    lowered_s = fleet.now_s
     fleet.play(16.0)
-    require_kept(fleet, 1.0, "fell", since_s=fell_s + 1.0)
+    require_kept(fleet, 1.0, "fell", since_s=lowered_s + 1.0)
     require_used(fleet, 1.0, 14.0, "fell")
     fleet.limit_per_s = 20.0
     fleet.play(8.0)
@@ -142,7 +142,7 @@
 
 
 def a_limit_that_ends_holds_no_more():
-    """All routers hear of the end, and nobody tells of the limit any more."""
+    """After a limit has ended, no router applies it and requests are no longer held back."""
     fleet = LimitFleet(8, 2.0)
     fleet.demand(40.0)
     fleet.play(6.0)
@@ -153,7 +153,7 @@
 
 
 def a_limit_of_nothing_is_asked_now_and_then():
-    """A backend that takes nothing must be asked, or nobody would hear that its need ended."""
+    """A backend with limit 0 gets few requests, or no response would report the limit's end."""
     fleet = LimitFleet(4, 0.0)
     fleet.demand(5.0)
     fleet.play(60.0)
@@ -162,13 +162,13 @@
 
 
 def whoever_waits_longest_goes_first():
-    """One that has just come goes behind all that wait; ties are decided the same way by both."""
+    """A new request is placed behind all that wait; both routers resolve ties the same way."""
     rate = SharedRate("10.0.0.2", 100.0)
     rate.record_answer(1.0, 99.0, 100.0)
     now_s = 102.0
     assert rate.wait_s(now_s, 101.0, 4) == 0.0
     rate.heard("10.0.0.1", LimitShare(1.0, 100, 0, waiting=2, waited_ms=1500), now_s)
-    assert rate.wait_s(101.001, 100.9, 4) > 0.0, "somebody has waited for longer"
+    assert rate.wait_s(101.001, 100.9, 4) > 0.0, "another request has waited longer"
     assert rate.wait_s(101.001, 100.2, 4) == 0.0
     assert rate.wait_s(101.0, 100.495, 4) > 0.0 and rate.wait_s(101.0, 100.505, 4) > 0.0, "tied"
     first = SharedRate("10.0.0.1", 100.0)
@@ -180,16 +180,18 @@
 
 
 def answers_that_overtake_each_other_are_put_in_order():
-    """Only an answer to what was sent after the newest word came can make a limit less strict."""
+    """Only responses to requests sent after the latest statement arrived can relax a limit."""
     rate = SharedRate("a", 100.0)
     assert rate.record_answer(2.0, 99.9, 100.0)
-    assert not rate.record_answer(None, 99.95, 100.1), "sent before the limit was heard of"
-    assert rate.record_answer(1.0, 99.95, 100.1), "a stricter one counts whenever it was sent"
+    assert not rate.record_answer(None, 99.95, 100.1), "sent before the limit became known"
+    assert rate.record_answer(1.0, 99.95, 100.1), (
+        "a stricter limit applies whenever its request was sent"
+    )
     assert not rate.record_answer(5.0, 100.05, 100.2)
     assert rate.record_answer(5.0, 100.15, 100.3) and rate.per_s == 5.0
     assert rate.record_answer(None, 100.4, 100.5) and rate.per_s is None
     older = LimitShare(5.0, age_ms=300, taken=0)
-    assert not rate.heard("b", older, 100.6), "the other has heard of it before the end"
+    assert not rate.heard("b", older, 100.6), "the other router heard of that limit before it ended"
     assert rate.heard("b", LimitShare(4.0, age_ms=10, taken=0), 100.6) and rate.per_s == 4.0
 
 
@@ -198,7 +200,7 @@
 
 
 def limits_are_read_strictly():
-    """A finite number that is not negative is a limit, in any answer; all else names none."""
+    """A finite, non-negative number is a limit for any status; any other value is invalid."""
     dialect = HeaderDialect()
     told = {"1.3": 1.3, " 2 ": 2.0, "0": 0.0, "0.004": 0.004, "1e2": 100.0}
     none = ("", "-1", "nan", "inf", "-inf", "9" * 400, "soon", "1,5", "0x10", "1.3/s")
@@ -225,7 +227,7 @@
 
 
 def a_limit_belongs_to_one_life():
-    """A later life has none; what it said before it was heard of is its own."""
+    """A new incarnation starts unlimited, unless it stated a limit before it became known."""
     for opened_ms, is_limited in ((5, False), (1_000_100, True)):
         registry = BackendRegistry("", Clock())
         registry.update([entry("a", born_ms=10)], ())
@@ -234,11 +236,11 @@
         limit = registry.get("a@1000000").limit
         assert (limit.per_s is not None) is is_limited, opened_ms
     registry.get("a@1000000").apply_notices(notes(None, is_misdirected=True), 200.0, 0, 199.0)
-    assert limit.per_s == 1.0, "another backend at its address has said nothing of this one"
+    assert limit.per_s == 1.0, "a misdirected response must not change the limit of this backend"
 
 
 def an_odd_word_ends_no_limit():
-    """What is not understood says nothing: neither that there is a limit nor that there is none."""
+    """An invalid limit header is ignored: it neither sets a limit nor ends one."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a")], ())
@@ -254,7 +256,7 @@
 
 
 def a_limited_backend_is_left_out_only_while_it_has_no_permit():
-    """The others are used meanwhile; where there is none, the time to the next permit is known."""
+    """Other backends are used meanwhile; without any, the wait for the next permit is known."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b")], ())
@@ -276,7 +278,7 @@
 
 
 def an_end_that_all_were_told_of_is_not_taken_back():
-    """A router that was not heard for a while tells of a limit that is over."""
+    """An outdated report from a router that was silent does not restore a limit that ended."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a")], ())
@@ -300,7 +302,7 @@
 
 
 def shares_of_connections_never_exceed_what_a_backend_takes():
-    """At every size of fleet for which there is one for each; else each router has one."""
+    """Shares add up to at most ``max_connections``, except that each router has at least one."""
     for routers in (1, 4, 8, 30, 68, 185, 370):
         for count in (6, 96, 100, 470, 760):
             most = ConnectionShares(lambda n=routers: n).most(
--- a/features/support/mortal_backends.py
+++ b/features/support/mortal_backends.py
@@ -1,4 +1,4 @@
-"""Backends that end when they begin to run a certain request, and come back as new ones."""
+"""Backends that crash when they start to run a marked request, and are replaced by new ones."""
 
 import asyncio
 
@@ -11,30 +11,30 @@
 
 
 class MortalBackends:
-    """Keeps as many backends of each kind as there were; the routers hear of every new one."""
+    """Replaces each crashed backend by one of the same kind, and announces it to the routers."""
 
     def __init__(self, world, routers):
         self._world = world
         self._routers = routers
         self._position = world.position
         self.generations = 0
-        self.deaths_s = []
-        """When backends ended (seconds of the loop's clock)."""
+        self.crash_times_s = []
+        """When backends crashed (seconds of the event loop's clock)."""
         for backend in list(world.backends.values()):
             if backend.role != "prefill":
                 self._watch(backend)
 
     def arrivals(self):
-        """Return the arrivals of the request that ends backends, its prefills too."""
+        """Return the arrivals of the marked request, including its prefills, by time."""
         found = [a for b in self._world.backends.values() for a in b.arrivals if MARK in a.body]
         return sorted(found, key=lambda arrival: arrival.arrived_s)
 
     def ended(self):
-        """Return how many backends have ended."""
+        """Return the number of backends that have crashed."""
         return sum(arrival.ended_backend for arrival in self.arrivals())
 
     def story(self):
-        """Return when each backend got the request, by which try, and whether it ended."""
+        """Return a line per arrival: time, request id, expected backend, and whether it crashed."""
         arrivals = self.arrivals()
         first_s = arrivals[0].arrived_s
         return [
@@ -45,14 +45,16 @@
 
     def _watch(self, backend):
         backend.dies_of = MARK
-        backend.on_death = lambda: self._died(backend)
+        backend.on_death = lambda: self._handle_crash(backend)
 
-    def _died(self, backend):
+    def _handle_crash(self, backend):
         loop = asyncio.get_running_loop()
-        self.deaths_s.append(loop.time())
-        loop.call_later(BACK_AFTER_S, lambda: asyncio.ensure_future(self._replace(backend)))
+        self.crash_times_s.append(loop.time())
+        loop.call_later(
+            BACK_AFTER_S, lambda: asyncio.ensure_future(self._start_replacement(backend))
+        )
 
-    async def _replace(self, old):
+    async def _start_replacement(self, old):
         self.generations += 1
         name = f"{old.name.partition('-')[0]}-{self.generations}"
         fresh = StandInBackend(name, old.service, old.role, old.slots)
--- a/features/support/notice_properties.py
+++ b/features/support/notice_properties.py
@@ -1,4 +1,4 @@
-"""What backends say of themselves in their answers, over generated answers, lists and loads."""
+"""Tests of notices in responses of backends, with generated responses, lists and loads."""
 
 import math
 import random
@@ -18,15 +18,15 @@
 
 SERVICE = "plain"
 UNDER_WAY_S = 0.5
-"""The users' bound: what was under way as a backend asked for rest may arrive so much later."""
+"""The users' bound: requests in flight when a backend asks for back-off may arrive this late."""
 DRAIN_S = 2.0
-"""The users' bound on a request that comes after an answer which said that its backend leaves."""
+"""The users' bound: a backend may receive requests this long after its leaving notice arrived."""
 STEP_S = 0.01
 SPAN_S = 30.0
-ANSWER_S = 0.006
-"""From a request's sending until a refusal is read, as on the users' links."""
+RESPONSE_DELAY_S = 0.006
+"""Time from sending a request until a refusal is read, as on the users' links."""
 MOST_IN_REST = 2
-"""The users' bound on requests that a backend gets from one router while it rests."""
+"""The users' bound on the requests that a backend receives from one router during back-off."""
 
 
 def entry(name, is_leaving=False):
@@ -35,17 +35,17 @@
 
 
 def notes(**said):
-    """Return what an answer says."""
+    """Return the metadata of a response with these notices."""
     return ResponseMetadata("r", is_not_run=False, is_signed=True, **said)
 
 
 def head(status, *headers):
-    """Return the head of an answer."""
+    """Return the head of a response."""
     return ResponseHead(tuple((n.encode(), v.encode()) for n, v in headers), status)
 
 
 def times_to_rest_are_read_strictly():
-    """Seconds count, fractions too; what is none of that asks for nothing; a day is the most."""
+    """Retry-After takes decimal seconds up to one day; any other value is counted and ignored."""
     told = {"3": 3.0, " 2.5 ": 2.5, "0": 0.0, "1e2": 100.0, "99999999": 86_400.0}
     none = ("", "-1", "nan", "soon", "Wed, 21 Oct 2026 07:28:00 GMT", "3;4", "0x10")
     none += ("inf", "Infinity", "9" * 400, "1e999", "1_0", "\u0663")
@@ -64,7 +64,7 @@
 
 
 def numbers_of_any_length_are_read_or_refused():
-    """A number in a head may have thousands of digits: it is refused like any odd word."""
+    """A header value with thousands of digits is rejected like any other invalid value."""
     dialect = HeaderDialect()
     many = "9" * 5_000
     for text in (many, f"1,{many},4", "1,2,3,4", "-1,0,4", "1,,4", "x"):
@@ -78,11 +78,11 @@
             dialect.request_metadata(request)
         except BadRequest:
             continue
-        raise AssertionError(f"{name} of {len(text)} digits was believed")
+        raise AssertionError(f"{name} with a value of {len(text)} characters was accepted")
 
 
 class SaidFleet:
-    """Backends that turn work away, ask for rest and leave at generated moments, and one router."""
+    """Backends that ask for back-off and announce leaving at generated times, and a router."""
 
     def __init__(self, seed, size):
         self.chance = random.Random(seed)
@@ -90,25 +90,25 @@
         self.registry = BackendRegistry("", self.clock)
         self.names = [f"b{number}" for number in range(size)]
         self.registry.update([entry(name) for name in self.names], ())
-        self.leaves_s = {}
+        self.leaving_notice_s = {}
         self.rests = {name: [] for name in self.names}
-        """Of each backend, from when to when it wants no request."""
+        """By backend: start and end of each back-off that it asked for."""
         self.arrivals = {name: [] for name in self.names}
         self._answers = []
 
     def play(self, arrivals_per_s, rest_share, leaving):
-        """Let requests come for a while; ``leaving`` backends say so from some moment on."""
+        """Send requests for ``SPAN_S``; ``leaving`` backends announce it after a generated time."""
         start_s = self.clock.now_s
         ends_s = {n: start_s + self.chance.uniform(0, SPAN_S) for n in self.names[:leaving]}
         while self.clock.now_s < start_s + SPAN_S:
             self.clock.now_s += STEP_S
-            self._read_answers()
-            self._hear_list()
+            self._apply_responses()
+            self._apply_random_list_change()
             if self.chance.random() < arrivals_per_s * STEP_S:
-                self._arrive(ends_s, rest_share)
+                self._handle_arrival(ends_s, rest_share)
 
-    def _hear_list(self):
-        """Have the list say that a backend is ready, or gone, or both in turn, whatever is true."""
+    def _apply_random_list_change(self):
+        """Occasionally list a backend as ready, or first as removed, whatever its state is."""
         if self.chance.random() < 0.02:
             name = self.chance.choice(self.names)
             if self.chance.random() < 0.3:
@@ -116,7 +116,7 @@
             self.registry.update([entry(name)], ())
             self.registry.drop_expired_backends()
 
-    def _arrive(self, ends_s, rest_share):
+    def _handle_arrival(self, ends_s, rest_share):
         backend = self.registry.cheapest(SERVICE)
         if backend is None:
             return
@@ -126,26 +126,30 @@
         if self.chance.random() < rest_share:
             said["rest_s"] = self.chance.choice((0.0, 0.5, 1.0, 3.0, 5.0))
             self.rests[backend.name].append((now_s, now_s + said["rest_s"]))
-        self._answers.append((now_s + ANSWER_S, backend, notes(**said)))
+        self._answers.append((now_s + RESPONSE_DELAY_S, backend, notes(**said)))
 
-    def _read_answers(self):
+    def _apply_responses(self):
         now_s = self.clock.now_s
         for due_s, backend, said in self._answers:
             if due_s <= now_s:
                 backend.apply_notices(said, now_s)
                 if said.is_leaving:
-                    self.leaves_s.setdefault(backend.name, now_s)
+                    self.leaving_notice_s.setdefault(backend.name, now_s)
         self._answers = [answer for answer in self._answers if answer[0] > now_s]
 
     def require_kept(self):
-        """Check both of the users' bounds against the backends' own ledgers."""
-        for name, since_s in self.leaves_s.items():
+        """Check both of the users' bounds against the requests that the backends received."""
+        for name, since_s in self.leaving_notice_s.items():
             late = [at_s for at_s in self.arrivals[name] if at_s > since_s + DRAIN_S]
-            assert not late, f"{name} said at {since_s} that it leaves, and got {late}"
+            assert not late, (
+                f"{name} announced its leaving at {since_s} and received requests at {late}"
+            )
         for name, rests in self.rests.items():
             for from_s, until_s in rests:
                 within = [a for a in self.arrivals[name] if from_s + UNDER_WAY_S < a < until_s]
-                assert len(within) <= MOST_IN_REST, f"{name} rested {from_s}-{until_s}: {within}"
+                assert len(within) <= MOST_IN_REST, (
+                    f"{name} backed off from {from_s} to {until_s} and received {within}"
+                )
 
 
 @searched(
@@ -163,7 +167,7 @@
 
 
 def a_rest_ends_and_the_backend_is_used_again():
-    """A rest takes a backend out for its time and no longer; a shorter one does not shorten it."""
+    """A backend is excluded exactly for its back-off, which a later, shorter one does not cut."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b")], ())
@@ -178,7 +182,7 @@
 
 
 def a_rest_of_all_ends_when_the_first_does():
-    """The time left counts backends that stay, and is nothing where one may be asked."""
+    """The wait is 0 if a backend is usable, else the shortest back-off of those not leaving."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry(name) for name in "abc"], ())
@@ -194,7 +198,7 @@
 
 
 def an_entry_that_lapses_and_comes_back_forgets_nothing():
-    """What was said outlasts the entry, as long as it may matter, and no longer."""
+    """Notices outlive the entry of their backend for the retention time and no longer."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b"), entry("c")], ())
@@ -213,7 +217,7 @@
 
 
 def what_was_said_by_who_is_gone_is_dropped():
-    """Backends that leave all day long leave no more behind than a minute's worth."""
+    """Notices of removed backends accumulate for at most a minute, however many leave."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     for number in range(1, 400):
@@ -231,7 +235,7 @@
 
 
 def a_later_life_has_said_nothing():
-    """A backend that starts anew under its identifier is neither leaving nor at rest."""
+    """A restarted backend with the same identifier is neither leaving nor in back-off."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     first = BackendEntry("a", SERVICE, "127.0.0.1:1", born_ms=10)
@@ -242,9 +246,10 @@
 
 
 def a_life_that_spoke_before_it_was_heard_of_is_believed():
-    """What came on a connection that was opened since the next life began is that one's word.
+    """A notice on a connection opened after the next incarnation started is attributed to that one.
 
-    Clocks differ by 250 ms: within that a rest is believed, which ends, and a leaving is not.
+    Clocks may differ by 250 ms. Within this margin a back-off is applied, because it ends by
+    itself, and a leaving notice is not.
     """
     born_ms, now_s = 1_000_000, 100.0
     cases = {-5_000: (False, False), -200: (True, False), 30: (True, False), 2_000: (True, True)}
@@ -262,9 +267,10 @@
 
 
 def a_life_that_spoke_under_the_name_before_is_believed():
-    """Guards against a rest that is lost: its answer was asked for under the ended life's name.
+    """Guards against a lost back-off whose request was sent to the previous incarnation's name.
 
-    It comes after the next life was heard of; the same margins hold as for what came before that.
+    Its response arrives after the next incarnation became known. The same margins apply as to
+    responses that arrive before that.
     """
     born_ms, now_s = 1_000_000, 100.0
     cases = {-5_000: (False, False), -200: (True, False), 30: (True, False), 2_000: (True, True)}
@@ -283,7 +289,7 @@
 
 
 def what_the_list_gives_others_is_the_list_alone():
-    """A router hands the list on as it is: the others hear of a leaving by its own word."""
+    """Notices do not change the backend list sent to other routers; they are sent separately."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([entry("a"), entry("b")], ())
@@ -294,7 +300,9 @@
     other.update([entry("a"), entry("b")], ())
     BackendGossip(other).apply_remote_leaving(("a", "unknown"))
     assert {b.name for b in other.usable(SERVICE)} == {"b"}
-    assert BackendGossip(other).recently_leaving() == (), "what was only heard is not told on"
+    assert BackendGossip(other).recently_leaving() == (), (
+        "reports received from other routers are not forwarded"
+    )
     clock.now_s += 2.0
     assert BackendGossip(registry).recently_leaving() == ()
 
--- a/features/support/poison_properties.py
+++ b/features/support/poison_properties.py
@@ -1,7 +1,7 @@
-"""Which requests come into quarantine, in a fleet in one process: poison, victims and newcomers.
+"""Tests of the quarantine for requests that crash backends, with a fleet simulated in one process.
 
-Pattern: a few requests crash every engine which begins to run them and come again at any router,
-beside sound streams that lose their engines with them and go on at the next.
+A few requests crash every engine that starts to run them, and are retried at any router. Harmless
+streams on the same engines are interrupted by these crashes and continue on another engine.
 """
 
 import dataclasses
@@ -21,43 +21,43 @@
 )
 
 NEWS_S = 0.02
-"""From an end until the other routers know of it."""
-CRASH_S = 0.1
-"""From the beginning of a run until its engine ends."""
-BACK_S = 4.0
-STREAM_S = 0.6
+"""Time from a crash until the other routers have received a report of it."""
+CRASH_DELAY_S = 0.1
+"""Time from the start of a poison request until its engine crashes."""
+RESTART_DELAY_S = 4.0
+STREAM_DURATION_S = 0.6
 SPAN_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True)
 class Shape:
-    """One fleet and its load."""
+    """Size of a fleet, and its load."""
 
     routers: int
     engines: int
     streams_per_s: float
-    poisons: int
+    poison_count: int
     copies: int
-    """Of a poison request that come at once."""
-    again_s: float
-    """After this time they come again."""
-    crashes_every_s: float = 0.0
-    """A quarter of the engines crash by themselves so often; 0: never."""
+    """Copies of each poison request that are sent at the same time."""
+    retry_interval_s: float
+    """Time after which the copies are sent again."""
+    crash_interval_s: float = 0.0
+    """Interval at which a quarter of the engines crash for other reasons; 0: never."""
 
 
 @dataclasses.dataclass
 class Run:
-    """One request at one engine, through one router."""
+    """One request, sent through one router to one engine at a time."""
 
     digest: int
     router: int
     attempts_left: int
-    ends_engine: bool
+    crashes_engine: bool
     sent_s: float = 0.0
 
 
 class PoisonedFleet:
-    """Engines that run streams and end under poison; ``play`` lets a minute pass."""
+    """Engines that run streams and crash on poison requests; ``play`` simulates one minute."""
 
     def __init__(self, shape, seed, is_used=True):
         self.shape = shape
@@ -67,47 +67,47 @@
         self.lives = [0] * shape.engines
         self.up = set(range(shape.engines))
         self.running = {engine: [] for engine in range(shape.engines)}
-        self.ends = dict.fromkeys(range(shape.poisons), 0)
-        self.late_sends = dict.fromkeys(range(shape.poisons), 0)
-        """Sends later than three seconds after the third end."""
+        self.ends = dict.fromkeys(range(shape.poison_count), 0)
+        self.late_sends = dict.fromkeys(range(shape.poison_count), 0)
+        """Sends more than 3 s after the third crash."""
         self.third_s = {}
         self.sound = 0
-        self.sound_refused = 0
-        self._numbers = itertools.count(shape.poisons)
+        self.harmless_refused = 0
+        self._numbers = itertools.count(shape.poison_count)
         self._order = itertools.count()
         self._events = []
 
-    def _at(self, after_s, act, *arguments):
+    def _schedule(self, after_s, act, *arguments):
         due_s = self.clock.now_s + after_s
         heapq.heappush(self._events, (due_s, next(self._order), act, arguments))
 
     def play(self):
         until_s = self.clock.now_s + SPAN_S
-        self._at(0.0, self._sound_arrives)
-        for poison in range(self.shape.poisons):
-            self._at(self.chance.uniform(1.0, 5.0), self._poison_arrives, poison)
-        if self.shape.crashes_every_s:
-            self._at(self.shape.crashes_every_s, self._some_crash)
+        self._schedule(0.0, self._send_harmless)
+        for poison in range(self.shape.poison_count):
+            self._schedule(self.chance.uniform(1.0, 5.0), self._send_poison_copies, poison)
+        if self.shape.crash_interval_s:
+            self._schedule(self.shape.crash_interval_s, self._crash_some_engines)
         while self._events and self._events[0][0] < until_s:
             self.clock.now_s, _, act, arguments = heapq.heappop(self._events)
             act(*arguments)
         return self
 
-    def _sound_arrives(self):
-        self._at(self.chance.expovariate(self.shape.streams_per_s), self._sound_arrives)
+    def _send_harmless(self):
+        self._schedule(self.chance.expovariate(self.shape.streams_per_s), self._send_harmless)
         self.sound += 1
         router = self.chance.randrange(self.shape.routers)
         self._send(Run(next(self._numbers), router, 2, False))
 
-    def _poison_arrives(self, poison):
-        self._at(self.shape.again_s, self._poison_arrives, poison)
+    def _send_poison_copies(self, poison):
+        self._schedule(self.shape.retry_interval_s, self._send_poison_copies, poison)
         for _ in range(self.shape.copies):
             router = self.chance.randrange(self.shape.routers)
             self._send(Run(poison, router, 2, True))
 
     def _send(self, run):
         if self.routers[run.router].quarantined_for_s(run.digest):
-            self.sound_refused += not run.ends_engine
+            self.harmless_refused += not run.crashes_engine
             return
         if not self.up or not run.attempts_left:
             return
@@ -115,25 +115,27 @@
         run.sent_s = self.clock.now_s
         engine = self.chance.choice(sorted(self.up))
         self.running[engine].append(run)
-        if run.ends_engine:
+        if run.crashes_engine:
             third_s = self.third_s.get(run.digest)
             late = third_s is not None and self.clock.now_s > third_s + 3.0
             self.late_sends[run.digest] += late
-            self._at(CRASH_S, self._ends, engine, self.lives[engine], run.digest)
+            self._schedule(
+                CRASH_DELAY_S, self._crash_engine, engine, self.lives[engine], run.digest
+            )
         else:
-            self._at(STREAM_S, self._whole, engine, run)
+            self._schedule(STREAM_DURATION_S, self._whole, engine, run)
 
     def _whole(self, engine, run):
         if run in self.running[engine]:
             self.running[engine].remove(run)
             self.routers[run.router].record_harmless(run.digest)
 
-    def _some_crash(self):
-        self._at(self.shape.crashes_every_s, self._some_crash)
+    def _crash_some_engines(self):
+        self._schedule(self.shape.crash_interval_s, self._crash_some_engines)
         for engine in self.chance.sample(sorted(self.up), len(self.up) // 4):
-            self._ends(engine, self.lives[engine])
+            self._crash_engine(engine, self.lives[engine])
 
-    def _ends(self, engine, life, culprit=None):
+    def _crash_engine(self, engine, life, culprit=None):
         if self.lives[engine] != life or engine not in self.up:
             return
         if culprit is not None:
@@ -141,23 +143,23 @@
             if self.ends[culprit] == 3:
                 self.third_s[culprit] = self.clock.now_s
         self.up.discard(engine)
-        self._at(BACK_S, self._back, engine)
+        self._schedule(RESTART_DELAY_S, self._restart_engine, engine)
         number = incarnation_number(f"{engine}-{life}")
         runs, self.running[engine] = self.running[engine], []
         for run in runs:
             self.routers[run.router].record_crash(run.digest, number, self.clock.now_s - run.sent_s)
         for router in {run.router for run in runs}:
             told = self.routers[router].told()
-            self._at(NEWS_S, self._tell, router, told)
+            self._schedule(NEWS_S, self._tell, router, told)
         for run in runs:
             self._send(run)
 
-    def _tell(self, teller, told):
+    def _tell(self, sender, told):
         for number, router in enumerate(self.routers):
-            if number != teller:
+            if number != sender:
                 router.heard(told)
 
-    def _back(self, engine):
+    def _restart_engine(self, engine):
         self.lives[engine] += 1
         self.up.add(engine)
 
@@ -167,14 +169,15 @@
     Shape(5, 4, 5.0, 1, 4, 4.0),
     Shape(4, 8, 9.0, 3, 2, 4.0),
     Shape(68, 60, 55.0, 3, 4, 3.0),
-    Shape(68, 60, 55.0, 6, 4, 3.0, crashes_every_s=7.0),
+    Shape(68, 60, 55.0, 6, 4, 3.0, crash_interval_s=7.0),
 )
 
 
 def poison_ends_few_engines():
-    """A poison request ends three engines, and what its copies met before anybody could know.
+    """A poison request crashes three engines, and those that its copies reach before the reports.
 
-    Copies that end their engines at one moment have each gone to another by the time of the news.
+    Copies whose engines crash at the same time have each been retried on another engine before the
+    routers have received the reports.
     """
     for shape, seed in itertools.product(SHAPES, range(5)):
         fleet = PoisonedFleet(shape, seed).play()
@@ -186,43 +189,53 @@
 
 
 def sound_requests_are_spared():
-    """Of the streams that lose their engines to poison and crashes, one in 500 is refused."""
+    """At most one in 500 harmless streams is refused, despite poison requests and crashes."""
     for shape, seed in itertools.product(SHAPES, range(5)):
         fleet = PoisonedFleet(shape, seed).play()
-        assert fleet.sound_refused <= 1 + fleet.sound / 500, (shape, seed, fleet.sound_refused)
+        assert fleet.harmless_refused <= 1 + fleet.sound / 500, (
+            shape,
+            seed,
+            fleet.harmless_refused,
+        )
 
 
 def crashes_alone_quarantine_nobody():
-    """Engines that crash by themselves, a quarter every three seconds, cost no stream its place."""
+    """At most one in 500 streams is refused if a quarter of the engines crash every 3 s."""
     for routers, engines, rate in ((5, 4, 5.0), (68, 60, 55.0)):
-        shape = Shape(routers, engines, rate, 0, 0, 0.0, crashes_every_s=3.0)
+        shape = Shape(routers, engines, rate, 0, 0, 0.0, crash_interval_s=3.0)
         for seed in range(5):
             fleet = PoisonedFleet(shape, seed).play()
-            assert fleet.sound_refused <= fleet.sound / 500, (shape, seed, fleet.sound_refused)
+            assert fleet.harmless_refused <= fleet.sound / 500, (
+                shape,
+                seed,
+                fleet.harmless_refused,
+            )
 
 
 def ended(router, digest, *lives):
-    """Have a request at backends that end a second after they got it."""
+    """Record crashes of incarnations ``lives``, each 1 s after it received the request."""
     for life in lives:
         router.record_crash(digest, life, 1.0)
 
 
 def a_backend_that_answers_has_not_ended():
-    """What it broke off counts for nothing once it answers what was sent after that."""
+    """A recorded crash is discarded once the backend responds to a later request."""
     clock = Clock()
     router = PoisonRequests(clock=clock)
     ended(router, 7, 1, 2, 3)
     sent_before_s = clock.now_s - 0.1
     clock.now_s += 5.0
     router.record_alive(1, sent_before_s)
-    assert router.quarantined_for_s(7), "that answer lay here while the process stood still"
+    assert router.quarantined_for_s(7), (
+        "a late response to a request from before the crash proves nothing"
+    )
     for life in (1, 2):
         router.record_alive(life, clock.now_s)
     assert not router.quarantined_for_s(7)
 
 
 def quick_ends_count_only_as_three():
-    """A connection that breaks as soon as it is used may belong to a backend that was gone."""
+    """Immediate crashes count only towards three: the backend may already have been gone."""
     clock = Clock()
     router, other = PoisonRequests(clock=clock), PoisonRequests(clock=clock)
     router.record_crash(7, 1, 0.002)
@@ -235,7 +248,7 @@
 
 
 def a_request_that_is_answered_is_sound():
-    """One whole answer takes a request off the suspects."""
+    """A complete response clears the crashes that were recorded for a request."""
     router = PoisonRequests(clock=Clock())
     ended(router, 7, 1, 2)
     router.record_harmless(7)
@@ -244,12 +257,14 @@
 
 
 def a_pair_counts_where_nothing_else_was_at_both():
-    """Two ends are enough for the only request that was at both, once the others were heard."""
+    """Two crashes suffice for the only request at both, once other routers had time to report."""
     clock = Clock()
     router = PoisonRequests(clock=clock)
     ended(router, 7, 1, 2)
     ended(router, 8, 1)
-    assert not router.quarantined_for_s(7), "others may still tell of what was there"
+    assert not router.quarantined_for_s(7), (
+        "other routers may still report requests that were there"
+    )
     clock.now_s += SETTLE_S + 0.01
     assert router.quarantined_for_s(7) and not router.quarantined_for_s(8)
     ended(router, 8, 2)
@@ -257,7 +272,7 @@
 
 
 def an_end_is_put_down_to_the_stronger_suspect():
-    """A victim that met the same poison three times goes on once that is known."""
+    """A harmless request at three crashes is released once a stronger suspect is known."""
     router = PoisonRequests(clock=Clock())
     ended(router, 8, 1, 2, 3)
     assert router.quarantined_for_s(8)
@@ -266,7 +281,7 @@
 
 
 def quarantine_is_forgotten():
-    """Ten minutes after the last end the request is a new one, though routers remind each other."""
+    """A quarantine ends ten minutes after the last crash, although routers gossip about it."""
     clock = Clock()
     routers = [PoisonRequests(clock=clock) for _ in range(3)]
     ended(routers[0], 7, 1, 2, 3)
@@ -283,7 +298,7 @@
 
 
 def suspects_are_bounded():
-    """Neither a flood of ends nor one request with many grows without end."""
+    """The number of suspects is bounded, and so is the number of crashes kept of each."""
     clock = Clock()
     router = PoisonRequests(clock=clock)
     for number in range(3 * MOST_KEPT):
--- a/features/support/restored_properties.py
+++ b/features/support/restored_properties.py
@@ -1,4 +1,4 @@
-"""State followers of a source that is restored from backups, over generated histories."""
+"""Tests of state followers whose source is restored from backups, with generated histories."""
 
 import asyncio
 
@@ -69,7 +69,7 @@
 
 
 class RestorableSource(StateSource):
-    """A source that loses history in restores, and keeps the actual states beside it."""
+    """A source that loses history in restores. Records the actual states separately."""
 
     def __init__(self):
         self.position = SourcePosition(1, 0)
@@ -79,7 +79,7 @@
             self.write(name, READY)
 
     def write(self, name, state):
-        """Write the state of one backend."""
+        """Record the state of one backend under a new revision."""
         self.actual[name] = state
         self.position = SourcePosition(self.position.era, self.position.revision + 1)
         self.events.append((self.position.revision, name, state))
@@ -107,11 +107,11 @@
                 self.write(name, state)
 
     def snapshot(self):
-        """Return everything."""
+        """Return a snapshot of the current position and entries."""
         return StateSnapshot(self.position, TABLE, self.items())
 
     def changes(self, after):
-        """Return the changes after a revision, as news for other routers."""
+        """Return the changes after a revision, in the form that routers send each other."""
         newer = [event for event in self.events if event[0] > after]
         changed = tuple(entry(n, r, s) for r, n, s in newer if s != GONE)
         gone = tuple(n for _, n, s in newer if s == GONE)
--- a/features/support/watch_properties.py
+++ b/features/support/watch_properties.py
@@ -1,4 +1,4 @@
-"""Properties of a fleet in which few routers watch the store, in one process, without sockets."""
+"""Tests of a fleet in which few routers poll the shared store, in one process without sockets."""
 
 import asyncio
 
@@ -34,15 +34,15 @@
 WAY_S = 0.004
 INTERVAL_S = 0.3
 MIN_SEND_INTERVAL_S = 0.01
-FETCH_S = 0.3
-"""Time until a router that is behind has fetched another's state."""
+STATE_FETCH_DELAY_S = 0.3
+"""Time until an outdated router has fetched the state of another router."""
 SILENT_S = 1.5
-SLACK_S = 0.4
-"""A watch that gets no answer ends so long after it was to rest."""
+TIMEOUT_SLACK_S = 0.4
+"""A long poll without a response fails this long after its requested duration."""
 
 
 class SharedStore:
-    """What the platform's store knows; it counts the calls."""
+    """In-memory substitute for the platform's store. Counts calls and full reads."""
 
     def __init__(self):
         self.position = SourcePosition(1, 1)
@@ -52,7 +52,7 @@
         self._changed = asyncio.Event()
 
     def change(self, name, is_leaving=False):
-        """Write one backend's entry."""
+        """Write the entry of one backend and complete pending long polls."""
         self.position = SourcePosition(self.position.era, self.position.revision + 1)
         entry = BackendEntry(name, "llm", "127.0.0.1:1", is_leaving=is_leaving, role="decode")
         self.events.append((self.position, entry))
@@ -60,7 +60,7 @@
         self._changed = asyncio.Event()
 
     def restore(self, lost):
-        """Begin a new era that lacks the newest ``lost`` changes."""
+        """Begin a new era without the latest ``lost`` changes, as after a restore from a backup."""
         revision = self.position.revision - lost
         self.position = SourcePosition(self.position.era + 1, revision)
         self.events = [(at, entry) for at, entry in self.events if at.revision <= revision]
@@ -68,7 +68,7 @@
         self._changed = asyncio.Event()
 
     async def wait(self, position, max_duration_s):
-        """Return what changed after a revision."""
+        """Return the changes after ``position``, or none after ``max_duration_s``."""
         if position.revision > self.position.revision:
             raise HistoryUnavailable("the revision is newer than the store")
         if position.revision == self.position.revision:
@@ -82,8 +82,8 @@
         return StateChanges(self.position, changed=tuple(newer.values()))
 
 
-class StorePath(StateSource):
-    """One router's way to the store: sound, refused at once, or silent."""
+class StoreConnection(StateSource):
+    """One router's connection to the store: working, refused at once, or without a response."""
 
     is_shared = True
 
@@ -106,62 +106,62 @@
         asked_s = boot_time_s()
         changes = await self._store.wait(position, max_duration_s)
         if self.state == "silent":
-            await asyncio.sleep(asked_s + max_duration_s + SLACK_S - boot_time_s())
+            await asyncio.sleep(asked_s + max_duration_s + TIMEOUT_SLACK_S - boot_time_s())
             raise PlatformUnavailable("silent")
         return changes
 
 
 class FleetRouter:
-    """One router's knowledge, and what it heard of the others."""
+    """One router's state, and the reports that it received from the other routers."""
 
     def __init__(self, address, store, shares_watch):
         self.address = address
-        self.path = StorePath(store)
+        self.path = StoreConnection(store)
         self.registry = BackendRegistry("zone")
         self.others = []
         self._heard = {}
         duty = WatchDuty(address, self._contacts) if shares_watch else None
         self.follower = StateFollower(self.path, self.registry, duty)
         self.duty = duty
-        self.follower.on_news = self._tell_soon
+        self.follower.on_news = self._schedule_report
         self.is_cut = False
-        self._is_telling = False
-        self._is_fetching = False
+        self._is_report_scheduled = False
+        self._is_fetch_scheduled = False
 
     def _contacts(self):
         oldest_s = boot_time_s() - SILENT_S
         return [contact for contact in self._heard.values() if contact.heard_s >= oldest_s]
 
-    def _tell_soon(self):
-        if not self._is_telling:
-            self._is_telling = True
+    def _schedule_report(self):
+        if not self._is_report_scheduled:
+            self._is_report_scheduled = True
             asyncio.get_running_loop().call_later(MIN_SEND_INTERVAL_S, self.tell)
 
     def tell(self):
-        """Tell all others what a router tells of its state."""
-        self._is_telling = False
+        """Send all other routers a report on this router's state and its contact with the store."""
+        self._is_report_scheduled = False
         if self.is_cut:
             return
         told = (self.follower.source_age_ms(), self.follower.news(), self.follower.position)
         for other in self.others:
             asyncio.get_running_loop().call_later(WAY_S, other.hear, self, *told)
 
-    def hear(self, teller, age_ms, news, position):
-        """Take in what another router tells."""
+    def hear(self, sender, age_ms, news, position):
+        """Apply another router's report; fetch that router's state if it is newer."""
         if self.is_cut:
             return
-        self._heard[teller.address] = SourceContact(teller.address, age_ms, boot_time_s())
+        self._heard[sender.address] = SourceContact(sender.address, age_ms, boot_time_s())
         self.follower.take_news(news)
-        if position > self.follower.position and not self._is_fetching:
-            self._is_fetching = True
-            asyncio.get_running_loop().call_later(FETCH_S, self._fetch, teller)
+        if position > self.follower.position and not self._is_fetch_scheduled:
+            self._is_fetch_scheduled = True
+            asyncio.get_running_loop().call_later(STATE_FETCH_DELAY_S, self._fetch, sender)
 
-    def _fetch(self, teller):
-        self._is_fetching = False
-        self.follower.adopt(teller.follower.snapshot())
+    def _fetch(self, sender):
+        self._is_fetch_scheduled = False
+        self.follower.adopt(sender.follower.snapshot())
 
     async def run(self):
-        """Follow the store and speak at intervals."""
+        """Follow the store and send reports at regular intervals."""
         following = asyncio.create_task(self.follower.run())
         try:
             while True:
@@ -172,7 +172,7 @@
 
 
 class WatchingFleet:
-    """A fleet at work, for a scenario to look at."""
+    """A running fleet of routers with one shared store."""
 
     def __init__(self, shares_watch=True, size=ROUTERS):
         self.store = SharedStore()
@@ -193,11 +193,11 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def watchers(self):
-        """Return the routers that watch the store now."""
+        """Return the routers that currently poll the store."""
         return [router for router in self.routers if router.duty is None or router.duty.is_due()]
 
-    async def known_after_s(self, name, limit_s=8.0):
-        """Return the seconds until each router that can know of a new backend does, sorted."""
+    async def propagation_delays_s(self, name, limit_s=8.0):
+        """Add a backend; return the seconds until each connected router lists it, sorted."""
         self.store.change(name)
         began_s = boot_time_s()
         waiting = [router for router in self.routers if not router.is_cut]
@@ -207,26 +207,26 @@
             done = [router for router in waiting if router.registry.get(name) is not None]
             took_s += [boot_time_s() - began_s] * len(done)
             waiting = [router for router in waiting if router not in done]
-        assert not waiting, f"{len(waiting)} routers do not know of {name} after {limit_s} s"
+        assert not waiting, f"{len(waiting)} routers do not list {name} after {limit_s} s"
         return sorted(took_s)
 
 
-async def _calls_and_news(shares_watch):
-    """Return the calls in three quiet seconds, and the seconds until all know of changes."""
+async def _calls_and_propagation_delays(shares_watch):
+    """Return the store calls in 3 s without changes, and the sorted propagation delays of five."""
     async with WatchingFleet(shares_watch) as fleet:
         before = fleet.store.calls
         await asyncio.sleep(3.0)
         calls = fleet.store.calls - before
         took_s = []
         for number in range(5):
-            took_s += await fleet.known_after_s(f"new-{number}")
+            took_s += await fleet.propagation_delays_s(f"new-{number}")
             await asyncio.sleep(0.37)
         return calls, sorted(took_s)
 
 
 def few_routers_watch_the_store():
-    """Of 68 routers six ask it, once a second; each change is known everywhere at once."""
-    calls, took_s = run_simulated(_calls_and_news(shares_watch=True))
+    """Of 68 routers only six poll the store, once a second, and changes reach all within 0.5 s."""
+    calls, took_s = run_simulated(_calls_and_propagation_delays(shares_watch=True))
     assert calls <= 3 * MOST_WATCHERS / WATCH_S + MOST_WATCHERS, calls
     assert took_s[len(took_s) // 2] < 0.1 and took_s[-1] < 0.5, (
         took_s[len(took_s) // 2],
@@ -235,47 +235,47 @@
 
 
 def watchers_that_fell_silent_are_replaced():
-    """All watchers lose the store at once without a sign: the others know of a change in 3 s."""
+    """If all watchers stop receiving responses at once, a change reaches all routers within 3 s."""
 
     async def play():
         async with WatchingFleet() as fleet:
             for router in fleet.watchers():
                 router.path.state = "silent"
-            took_s = await fleet.known_after_s("new")
+            took_s = await fleet.propagation_delays_s("new")
             assert took_s[-1] < FRESH_S + 1.2, took_s[-1]
 
     run_simulated(play())
 
 
 def watchers_that_are_turned_away_are_replaced():
-    """The store refuses a third of the routers and all watchers: a change is known in 1.5 s."""
+    """If the store refuses all watchers and a third of the routers, changes arrive within 1.5 s."""
 
     async def play():
         async with WatchingFleet() as fleet:
             for router in fleet.watchers() + fleet.routers[: ROUTERS // 3]:
                 router.path.state = "refused"
             await asyncio.sleep(WATCH_S)
-            took_s = await fleet.known_after_s("new")
+            took_s = await fleet.propagation_delays_s("new")
             assert took_s[-1] < 1.5, took_s[-1]
 
     run_simulated(play())
 
 
 def watchers_that_vanish_are_replaced():
-    """All watchers are cut off from everything: the others know of a change in 3 s."""
+    """If all watchers lose the store and the fleet, a change reaches the others within 3 s."""
 
     async def play():
         async with WatchingFleet() as fleet:
             for router in fleet.watchers():
                 router.path.state, router.is_cut = "silent", True
-            took_s = await fleet.known_after_s("new")
+            took_s = await fleet.propagation_delays_s("new")
             assert took_s[-1] < FRESH_S + 1.2, took_s[-1]
 
     run_simulated(play())
 
 
 def a_router_that_hears_nobody_watches_itself():
-    """A router that is cut off from the others knows of changes by itself."""
+    """A router that is partitioned from the fleet polls the store itself."""
 
     async def play():
         async with WatchingFleet(size=12) as fleet:
@@ -290,7 +290,7 @@
 
 
 async def _restore(fleet, lost, cut):
-    """Restore the store after an outage that lasts on for the routers in ``cut``."""
+    """Restore the store after an outage, which continues for the routers in ``cut``."""
     for number in range(10):
         fleet.store.change(f"old-{number}")
     await asyncio.sleep(0.5)
@@ -304,12 +304,12 @@
 
 
 def few_routers_read_everything_after_a_restore():
-    """After a restore, most of 68 routers take the state over instead of reading it."""
+    """After a restore, most of 68 routers fetch the state from others instead of the store."""
 
     async def play():
         async with WatchingFleet() as fleet:
             await _restore(fleet, lost=5, cut=())
-            took_s = await fleet.known_after_s("new")
+            took_s = await fleet.propagation_delays_s("new")
             await asyncio.sleep(1.0)
             assert fleet.store.reads <= 2 * MOST_WATCHERS, fleet.store.reads
             assert fleet.store.calls <= 3 * ROUTERS, fleet.store.calls
@@ -326,7 +326,7 @@
             readers = [router for router in fleet.routers if router.duty.is_initial_reader()]
             assert len(readers) == MOST_WATCHERS
             await _restore(fleet, lost=5, cut=readers)
-            took_s = await fleet.known_after_s("new")
+            took_s = await fleet.propagation_delays_s("new")
             assert took_s[-1] < 3.0, took_s[-1]
 
     run_simulated(play())
