--- a/features/support/broken_engine_properties.py
+++ b/features/support/broken_engine_properties.py
@@ -54,7 +54,7 @@
         heapq.heappush(self._events, (due_s, next(self._numbers), act))
 
     def play(self):
-        """Simulate arrivals for ``SPAN_S``; return how many generations the broken engine received."""
+        """Simulate arrivals for ``SPAN_S``; return how many reached the broken engine."""
         due_s = self.clock.now_s
         until_s = due_s + SPAN_S
         while (due_s := due_s + self.chance.expovariate(ARRIVALS_PER_S)) < until_s:
--- a/features/support/gossip_properties.py
+++ b/features/support/gossip_properties.py
@@ -13,7 +13,7 @@
 
 PORT = 1
 SPAN_S = 2.6
-"""Longer than the period after its start in which a router counts as new."""
+"""Longer than the startup period, in which a router sends more often."""
 
 
 class CountingTransport:
@@ -57,7 +57,7 @@
             await asyncio.sleep(0.2)
 
     async def rounds(self, change_every_s=None):
-        """Return the datagrams per second to each other router, once it no longer counts as new."""
+        """Return the datagrams per second to each other router after the startup period."""
         hearing = asyncio.create_task(self._receive_from_all())
         speaking = asyncio.create_task(self.gossip.run())
         await asyncio.sleep(SPAN_S)
--- a/features/support/limit_fleet.py
+++ b/features/support/limit_fleet.py
@@ -175,7 +175,7 @@
         self.routers[number] = self.start(number)
 
     def demand(self, per_s, share=1.0, may_wait=True):
-        """Generate requests at a share of the routers, ``per_s`` in total."""
+        """Generate requests at a share of the routers, at least one, with ``per_s`` in total."""
         count = max(1, round(share * len(self.routers)))
 
         def come():
--- a/features/support/poison_properties.py
+++ b/features/support/poison_properties.py
@@ -227,7 +227,7 @@
     clock.now_s += 5.0
     router.record_alive(1, sent_before_s)
     assert router.quarantined_for_s(7), (
-        "a late response to a request from before the crash proves nothing"
+        "response read late, after a process pause: its request preceded the crash"
     )
     for life in (1, 2):
         router.record_alive(life, clock.now_s)
