--- a/features/support/call_queue_properties.py
+++ b/features/support/call_queue_properties.py
@@ -1,4 +1,4 @@
-"""Many calls wait for limited backends: what that costs, who goes first, who is refused."""
+"""Properties of the queue for rate-limited backends: polling cost, order and refusals."""
 
 import asyncio
 import types
@@ -14,22 +14,22 @@
 SPAN_S = 0.6
 
 
-class CountingRegistry(BackendRegistry):
-    """Counts how often all backends of a service are looked through."""
+class ScanCountingRegistry(BackendRegistry):
+    """Counts how often the backends of a service are scanned."""
 
     looks = 0
 
     def usable(self, service, role=None):
-        """Count and go on."""
+        """Count the scan and return the usable backends."""
         self.looks += 1
         return super().usable(service, role)
 
 
 class Waiting:
-    """Calls that wait for one backend that names a limit."""
+    """Calls that wait for one backend that announces a rate limit."""
 
     def __init__(self, limit_per_s):
-        self.registry = CountingRegistry("")
+        self.registry = ScanCountingRegistry("")
         self.registry.update([BackendEntry("a", SERVICE, "127.0.0.1:1")], ())
         self.name_limit(limit_per_s)
         allowance = RetryAllowance(RetryBounds(0.2, 10.0, 50.0), lambda: 1)
@@ -38,12 +38,12 @@
         self.refused = []
 
     def name_limit(self, limit_per_s):
-        """Have an answer of the backend name a limit."""
+        """Record a response in which the backend announces a rate limit."""
         now_s = boot_time_s()
         self.registry.get("a").limit.record_answer(limit_per_s, now_s, now_s)
 
     def come(self, name, target_in_s, remaining_s=60.0):
-        """Let a call come; return its task."""
+        """Submit a call; return its task."""
         now_s = boot_time_s()
         call = types.SimpleNamespace(
             service=types.SimpleNamespace(name=SERVICE),
@@ -61,8 +61,8 @@
             self.refused.append(call.request_id)
 
 
-def looks_while_waiting(count):
-    """Return how often backends are looked through in a second while ``count`` calls wait."""
+def scan_rate_while_waiting(count):
+    """Return the backend scans per second while ``count`` calls wait."""
 
     async def play():
         waiting = Waiting(0.1)
@@ -70,23 +70,23 @@
         await asyncio.sleep(0.1)
         before, before_s = waiting.registry.looks, boot_time_s()
         await asyncio.sleep(SPAN_S)
-        looks_per_s = (waiting.registry.looks - before) / (boot_time_s() - before_s)
+        scans_per_s = (waiting.registry.looks - before) / (boot_time_s() - before_s)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        return looks_per_s
+        return scans_per_s
 
     return asyncio.run(play())
 
 
-def many_that_wait_look_no_more_often_than_few():
-    """Guards against a queue whose work grows with its length times the backends."""
-    few, many = looks_while_waiting(5), looks_while_waiting(200)
+def scan_rate_does_not_grow_with_the_queue():
+    """Guards against a queue whose polling cost grows with its length times the backends."""
+    few, many = scan_rate_while_waiting(5), scan_rate_while_waiting(200)
     assert 0 < many <= 1.5 * few, (few, many)
 
 
-def the_least_time_left_goes_first():
-    """Permits go to those with the least time left, whatever the order in which they came."""
+def the_earliest_deadline_is_served_first():
+    """Permits go to the earliest deadlines, independent of the order of arrival."""
 
     async def play():
         waiting = Waiting(20.0)
@@ -97,8 +97,11 @@
     assert asyncio.run(play()) == ["5", "4", "3", "2", "1", "0"]
 
 
-def whoever_becomes_hopeless_in_the_queue_is_refused_then():
-    """Guards against calls behind the first that nobody looks at: their forecast got worse."""
+def a_queued_call_is_refused_once_unservable():
+    """Guards against checking only the first queued call when the forecast gets worse.
+
+    The calls behind it would stay queued although they can no longer be served in time.
+    """
 
     async def play():
         waiting = Waiting(4.0)
@@ -118,8 +121,8 @@
     assert len(refused) >= 7, refused
 
 
-def a_hopeless_newcomer_is_refused_at_once():
-    """Whoever comes to a long queue and cannot be in time does not wait for its turn to look."""
+def an_unservable_call_is_refused_on_arrival():
+    """A call that joins a long queue and cannot be served in time is refused on arrival."""
 
     async def play():
         waiting = Waiting(1.0)
@@ -137,10 +140,10 @@
 
 
 CALL_QUEUE_PROPERTIES = {
-    "many that wait look no more often than few": many_that_wait_look_no_more_often_than_few,
-    "the least time left goes first": the_least_time_left_goes_first,
+    "many that wait look no more often than few": scan_rate_does_not_grow_with_the_queue,
+    "the least time left goes first": the_earliest_deadline_is_served_first,
     "whoever becomes hopeless in the queue is refused then": (
-        whoever_becomes_hopeless_in_the_queue_is_refused_then
+        a_queued_call_is_refused_once_unservable
     ),
-    "a hopeless newcomer is refused at once": a_hopeless_newcomer_is_refused_at_once,
+    "a hopeless newcomer is refused at once": an_unservable_call_is_refused_on_arrival,
 }
--- a/features/support/connection_properties.py
+++ b/features/support/connection_properties.py
@@ -1,4 +1,4 @@
-"""Properties of one caller's or backend's connection, on a real socket of the loopback."""
+"""Properties of single caller and backend connections, over real loopback sockets."""
 
 import asyncio
 import time
@@ -14,7 +14,7 @@
 
 
 class StoppingServer:
-    """Answers everything; a planned stop begins just behind the first answer."""
+    """Answers every request; a graceful shutdown starts right after the first response."""
 
     def __init__(self):
         self.connection = None
@@ -22,7 +22,7 @@
         self.limits = CallerLimits()
 
     async def start(self):
-        """Listen; return the port."""
+        """Start to listen; return the port."""
         server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         return server.sockets[0].getsockname()[1]
 
@@ -33,19 +33,22 @@
     async def _answer(self, request, answer):
         self.answered += 1
         await answer.whole(*complete_response(200, b"ok"))
-        # The answer is out and did not announce the close.
+        # The response has been sent without "Connection: close".
         self.connection.is_closing = True
 
 
 async def read_answer(reader):
-    """Return the head of one answer, in lower case."""
+    """Return the header section of one response, in lower case."""
     head = await asyncio.wait_for(reader.readuntil(b"\r\n\r\n"), LIMIT_S)
     await asyncio.wait_for(reader.readexactly(2), LIMIT_S)
     return head.lower()
 
 
-def a_request_behind_an_answer_that_announced_nothing_is_answered():
-    """A stop that begins just behind an answer loses no request that its caller sends then."""
+def a_request_after_an_unannounced_close_is_answered():
+    """Guards against losing a request that is sent just after a shutdown started.
+
+    The previous response did not announce the close, so the caller may reuse the connection.
+    """
 
     async def play():
         server = StoppingServer()
@@ -61,8 +64,8 @@
     asyncio.run(play())
 
 
-def an_idle_connection_is_closed_late_in_a_stop():
-    """Once the balancer sends no more connections, one that rests is closed."""
+def an_idle_connection_is_closed_during_shutdown():
+    """Once the load balancer opens no more connections, idle ones are closed."""
 
     async def play():
         server = StoppingServer()
@@ -77,8 +80,8 @@
     asyncio.run(play())
 
 
-def a_process_that_stood_still_reaches_who_has_accepted():
-    """A connection that was accepted meanwhile is used, however late this process looks."""
+def a_connection_accepted_during_a_stall_is_used():
+    """A connection that was accepted during a stall is used, although its timeout has passed."""
 
     async def play():
         server = await asyncio.start_server(lambda reader, writer: None, "127.0.0.1", 0)
@@ -92,8 +95,8 @@
     asyncio.run(play())
 
 
-def a_request_that_came_while_the_process_stood_still_is_read():
-    """Its time to arrive was over, and all of it was there."""
+def a_request_received_during_a_stall_is_read():
+    """A request that fully arrived during a stall is read, although its timeout has passed."""
 
     async def play():
         server = StoppingServer()
@@ -113,13 +116,13 @@
 
 CONNECTION_PROPERTIES = {
     "a process that stood still reaches who has accepted": (
-        a_process_that_stood_still_reaches_who_has_accepted
+        a_connection_accepted_during_a_stall_is_used
     ),
     "a request that came while the process stood still is read": (
-        a_request_that_came_while_the_process_stood_still_is_read
+        a_request_received_during_a_stall_is_read
     ),
     "a request behind an answer that announced nothing is answered": (
-        a_request_behind_an_answer_that_announced_nothing_is_answered
+        a_request_after_an_unannounced_close_is_answered
     ),
-    "an idle connection is closed late in a stop": an_idle_connection_is_closed_late_in_a_stop,
+    "an idle connection is closed late in a stop": an_idle_connection_is_closed_during_shutdown,
 }
--- a/features/support/fleet_properties.py
+++ b/features/support/fleet_properties.py
@@ -1,4 +1,4 @@
-"""Properties of several routers that place generations on the same engines, in one process."""
+"""Properties of several routers in one process that place generations on the same engines."""
 
 import asyncio
 
@@ -13,11 +13,11 @@
 
 MIN_SEND_INTERVAL_S = 0.01
 WAY_S = 0.004
-"""Routers speak at most this often; a datagram takes so long."""
+"""Minimum interval between a router's datagrams, and the delivery time of a datagram."""
 
 
 class Router:
-    """One router's ledger and queue, which hears the others late."""
+    """The ledger and queue of one router, which receives the others' state with a delay."""
 
     def __init__(self, name):
         self.name = name
@@ -29,7 +29,7 @@
             self.ledger,
             self._elsewhere,
             Mechanisms(refuse_hopeless=False),
-            self._turns,
+            self._reported_turns,
         )
         self.ledger.on_change = self._change
         self._is_speaking = False
@@ -39,7 +39,7 @@
         shares = [queues[service] for _, queues in self.heard.values() if service in queues]
         return QueueShare(sum(s.in_time for s in shares), sum(s.arrivals_per_s for s in shares))
 
-    def _turns(self, service):
+    def _reported_turns(self, service):
         return [
             Turn(share.next_in_ms < 0, at_s + abs(share.next_in_ms) / 1000, name < self.name)
             for name, (at_s, queues) in self.heard.items()
@@ -60,21 +60,24 @@
             asyncio.get_running_loop().call_later(WAY_S, other.hear, *told)
 
     def hear(self, name, shares, queues):
-        """Take in what another router told."""
+        """Apply the state received from another router."""
         self.heard[name] = (boot_time_s(), queues)
         self.ledger.heard(name, shares)
 
 
 def fleet(size):
-    """Return routers that hear each other."""
+    """Return routers that send their state to each other."""
     routers = [Router(f"r{number}") for number in range(size)]
     for router in routers:
         router.others = [other for other in routers if other is not router]
     return routers
 
 
-def room_that_comes_free_is_promised_once():
-    """Ten routers wait when room for one comes free: in six rounds, it is promised to few more."""
+def freed_capacity_is_reserved_once():
+    """Ten routers wait for one stream's capacity: six rounds allow at most 12 placements.
+
+    Guards against several routers placing requests on the same freed capacity.
+    """
 
     async def play():
         routers = fleet(10)
@@ -91,7 +94,7 @@
         for _ in range(6):
             routers[0].ledger.close_stream(taken)
             done, _ = await asyncio.wait(waiting, timeout=1.0, return_when="FIRST_COMPLETED")
-            assert done, "nobody took room that was free"
+            assert done, "no router used the free capacity"
             await asyncio.sleep(0.06)
             placed = [index for index, task in enumerate(waiting) if task.done()]
             promised.append(len(placed))
@@ -111,5 +114,5 @@
 
 
 FLEET_PROPERTIES = {
-    "room that comes free is promised once": room_that_comes_free_is_promised_once,
+    "room that comes free is promised once": freed_capacity_is_reserved_once,
 }
--- a/features/support/placement_cost_properties.py
+++ b/features/support/placement_cost_properties.py
@@ -1,4 +1,4 @@
-"""Properties of sums kept by difference and of the choice among many engines, without sockets."""
+"""Properties of incrementally maintained totals and of engine choice in large fleets."""
 
 import itertools
 import random
@@ -28,9 +28,11 @@
 )
 
 NAMES = ("a", "b", "c")
-LARGEST_GROWTH = 12.0
-"""Decisions at 370 routers and 610 engines over those at 30 and 28: 4 measured on a busy machine.
-Weighing every pair and summing over all routers each time, it was 1,700."""
+MAX_COST_RATIO = 12.0
+"""Maximum ratio of the decision cost with 370 routers and 610 engines to that with 30 and 28.
+
+The ratio is about 4 on a busy machine. It was 1,700 when each decision evaluated every engine pair
+and summed over all routers."""
 
 share = st.builds(
     EngineShare,
@@ -49,8 +51,8 @@
 
 
 @searched(events=st.lists(event, max_size=25))
-def sums_are_what_routers_told_last(events):
-    """Sums kept by difference are those of the newest shares that have not lapsed."""
+def totals_match_the_latest_reports(events):
+    """Incremental totals equal the sums of the latest shares that have not expired."""
     clock = Clock()
     promises = RemoteReservations(clock)
     newest = {}
@@ -59,12 +61,12 @@
             before = newest.get(who)
             freed = promises.heard(who, shares)
             if before is not None and clock() - before[0] <= LIFETIME_S:
-                is_less = any(
+                has_decreased = any(
                     shares.get(engine, EngineShare()).memory_tokens < old.memory_tokens
                     or shares.get(engine, EngineShare()).streams < old.streams
                     for engine, old in before[1].items()
                 )
-                assert freed == is_less, (before, shares)
+                assert freed == has_decreased, (before, shares)
             newest[who] = (clock(), shares)
         elif kind == "forget":
             promises.forget(who)
@@ -90,8 +92,11 @@
 
 
 @searched(events=st.lists(queue_event, max_size=25))
-def queues_elsewhere_are_what_routers_told_last(events):
-    """Sums and turns by service are those of the newest news; the last one in time is noticed."""
+def remote_queues_match_the_latest_reports(events):
+    """Totals and turns per service match the latest reports.
+
+    A report is flagged if it removes the last on-time waiter of a service.
+    """
     queues = RemoteQueues("r2")
     newest = {}
     for router, news in events:
@@ -122,8 +127,8 @@
     notes=st.lists(st.tuples(st.sampled_from(NAMES), st.integers(100, 9000)), max_size=20),
     kept=st.sets(st.sampled_from(NAMES)),
 )
-def the_typical_rate_is_the_median(notes, kept):
-    """What is typical of all engines is the median of what was measured, also after some left."""
+def the_default_prefill_rate_is_the_median(notes, kept):
+    """An unmeasured engine gets the median rate of the measured ones, also after some left."""
     pace = EnginePerformance(Clock())
     values = {}
     for engine, tokens in notes:
@@ -137,7 +142,7 @@
 
 
 def _busy_fleet(seed):
-    """Return a fleet whose engines are full to different shares, some failing, some slow."""
+    """Return a fleet whose engines differ in load, some of them failing or slow."""
     draw = random.Random(seed)
     fleet = DecisionFleet(FleetShape(draw.randint(2, 30), draw.randint(3, 40)), 0.3, seed)
     for backend in fleet.registry.usable(MODEL_SERVICE):
@@ -152,10 +157,10 @@
 
 
 @searched(seed=st.integers(0, 10_000))
-def the_cheapest_of_all_pairs_is_chosen(seed):
-    """The pair found by the cheapest of each zone costs what the cheapest of all pairs costs.
+def the_cheapest_engine_pair_is_chosen(seed):
+    """The choice among the cheapest engines of each zone costs as much as the cheapest pair.
 
-    Within 2 ms: what was measured of engines fades between the two looks.
+    A tolerance of 2 ms is allowed because measurements decay between the two evaluations.
     """
     fleet = _busy_fleet(seed)
     costs = EngineCosts(fleet.ledger, ALL_ON)
@@ -169,16 +174,16 @@
         for d in decodes
     ]
     best = costs.best_pair(prefills, evaluate, placement_query)
-    one_by_one = [
+    pair_costs = [
         costs.best_pair([prefill], [candidate], placement_query).cost_s
         for prefill, candidate in itertools.product(prefills, evaluate)
     ]
-    assert abs(best.cost_s - min(one_by_one)) < 0.002
+    assert abs(best.cost_s - min(pair_costs)) < 0.002
 
 
 @searched(seed=st.integers(0, 10_000))
-def room_is_found_wherever_it_is(seed):
-    """With room at one engine of some hundred only, a placement finds it."""
+def the_only_engine_with_capacity_is_found(seed):
+    """A placement finds the only engine with free capacity in a large fleet."""
     fleet = DecisionFleet(FleetShape(2, 150), 0.0, seed)
     decodes = fleet.registry.usable(MODEL_SERVICE, DECODE_ROLE)
     only = random.Random(seed).choice(decodes)
@@ -189,8 +194,8 @@
     assert placement is not None and placement.decode is only
 
 
-def a_home_moves_only_when_its_engine_leaves():
-    """Of 500 prompts, those of the engine that left move, evenly, and no other."""
+def only_keys_of_a_removed_engine_move():
+    """Of 500 keys, only those of the removed engine move; keys are spread evenly."""
     names = [f"i-{number:08x}" for number in range(60)]
     keys = [f"prompt-{number}" for number in range(500)]
 
@@ -208,22 +213,22 @@
     assert HashRing([]).home_of("prompt", always) is None
 
 
-def decisions_cost_little_more_in_a_large_fleet():
-    """A placement and a look for room grow with what a router looks at, not with the fleet."""
+def decision_cost_grows_little_with_the_fleet():
+    """The cost of placement decisions depends on the candidates examined, not on the fleet size."""
     small, large = measure(FleetShape(30, 28)), measure(FleetShape(370, 610))
     growth = {
         name: getattr(large, name) / getattr(small, name)
         for name in ("placement_ms", "look_ms", "heard_ms", "retry_ms")
     }
-    assert max(growth.values()) < LARGEST_GROWTH, growth
+    assert max(growth.values()) < MAX_COST_RATIO, growth
 
 
 PLACEMENT_COST_PROPERTIES = {
-    "sums are what routers told last": sums_are_what_routers_told_last,
-    "queues elsewhere are what routers told last": queues_elsewhere_are_what_routers_told_last,
-    "the typical rate is the median": the_typical_rate_is_the_median,
-    "the cheapest of all pairs is chosen": the_cheapest_of_all_pairs_is_chosen,
-    "room is found wherever it is": room_is_found_wherever_it_is,
-    "a home moves only when its engine leaves": a_home_moves_only_when_its_engine_leaves,
-    "decisions cost little more in a large fleet": decisions_cost_little_more_in_a_large_fleet,
+    "sums are what routers told last": totals_match_the_latest_reports,
+    "queues elsewhere are what routers told last": remote_queues_match_the_latest_reports,
+    "the typical rate is the median": the_default_prefill_rate_is_the_median,
+    "the cheapest of all pairs is chosen": the_cheapest_engine_pair_is_chosen,
+    "room is found wherever it is": the_only_engine_with_capacity_is_found,
+    "a home moves only when its engine leaves": only_keys_of_a_removed_engine_move,
+    "decisions cost little more in a large fleet": decision_cost_grows_little_with_the_fleet,
 }
--- a/features/support/properties.py
+++ b/features/support/properties.py
@@ -1,4 +1,4 @@
-"""Properties that hold for all inputs, searched the same way every time."""
+"""Properties of the gateway's pure parts, tested with deterministically generated cases."""
 
 import dataclasses
 
@@ -28,10 +28,10 @@
 from yokedock.version.role_ladder import LadderPosition, desired_role
 from yokedock.version.subset import choose_subset
 
-KEY = Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
-OLD = RecordLimits(600_000, 0)
+SIGNING_KEY = Ed25519PrivateKey.from_private_bytes(bytes(range(32)))
+RECORD_LIMITS = RecordLimits(600_000, 0)
 NAMES = st.text("abcdefgh0123456789", min_size=1, max_size=12)
-ROLES = ("prefill", "decode", "flexible")
+ENGINE_ROLES = ("prefill", "decode", "flexible")
 
 
 @st.composite
@@ -41,7 +41,9 @@
         for number, name in enumerate(draw(st.sets(NAMES, max_size=200)))
     }
     engines = {
-        name: Engine("pool", f"zone-{len(name) % 3}", "127.0.0.1:1", ROLES[len(name) % 3], "m")
+        name: Engine(
+            "pool", f"zone-{len(name) % 3}", "127.0.0.1:1", ENGINE_ROLES[len(name) % 3], "m"
+        )
         for name in draw(st.sets(NAMES, max_size=40))
     }
     limits = Limits(max_attempts=draw(st.integers(1, 10)))
@@ -50,53 +52,53 @@
 
 
 @searched(bundle=bundles(), version=st.integers(1, 10**9))
-def signed_opens(bundle, version):
-    signed = sign_bundle(bundle, version, 5, KEY)
-    opened = assemble(open_envelope(signed.envelope, KEY.public_key()), signed.sections)
+def signed_bundle_round_trips(bundle, version):
+    signed = sign_bundle(bundle, version, 5, SIGNING_KEY)
+    opened = assemble(open_envelope(signed.envelope, SIGNING_KEY.public_key()), signed.sections)
     assert opened == dataclasses.replace(bundle, version=version, created_at_ms=5)
 
 
-SIGNED = sign_bundle(
-    Bundle(0, 0, Limits(), {"default": RequestClass()}, {}, {}, {}, {}, {}, {}), 3, 5, KEY
+SIGNED_BUNDLE = sign_bundle(
+    Bundle(0, 0, Limits(), {"default": RequestClass()}, {}, {}, {}, {}, {}, {}), 3, 5, SIGNING_KEY
 )
 
 
-@searched(position=st.integers(0, len(SIGNED.envelope) - 1), value=st.integers(0, 255))
-def altered_rejected(position, value):
-    altered = bytearray(SIGNED.envelope)
+@searched(position=st.integers(0, len(SIGNED_BUNDLE.envelope) - 1), value=st.integers(0, 255))
+def altered_envelope_is_rejected(position, value):
+    altered = bytearray(SIGNED_BUNDLE.envelope)
     altered[position] = value
     try:
-        manifest = open_envelope(bytes(altered), KEY.public_key())
+        manifest = open_envelope(bytes(altered), SIGNING_KEY.public_key())
     except BundleRejected:
         return
-    assert manifest == open_envelope(SIGNED.envelope, KEY.public_key())
+    assert manifest == open_envelope(SIGNED_BUNDLE.envelope, SIGNING_KEY.public_key())
 
 
 @searched(bundle=bundles(), number=st.integers(0, 1000))
-def one_shard_moves(bundle, number):
+def one_changed_tenant_moves_one_shard(bundle, number):
     if not bundle.tenants:
         return
     name = sorted(bundle.tenants)[number % len(bundle.tenants)]
     tenants = {**bundle.tenants, name: Tenant("f" * 64, (), 7)}
-    before = sign_bundle(bundle, 1, 1, KEY)
-    after = sign_bundle(dataclasses.replace(bundle, tenants=tenants), 2, 2, KEY)
+    before = sign_bundle(bundle, 1, 1, SIGNING_KEY)
+    after = sign_bundle(dataclasses.replace(bundle, tenants=tenants), 2, 2, SIGNING_KEY)
     assert len(set(after.sections) - set(before.sections)) <= 1
 
 
 @searched(versions=st.lists(st.integers(1, 6), max_size=12))
-def never_older(versions):
+def store_version_never_decreases(versions):
     bundle = Bundle(0, 0, Limits(), {"default": RequestClass()}, {}, {}, {}, {}, {}, {})
-    store = BundleStore(KEY.public_key())
+    store = BundleStore(SIGNING_KEY.public_key())
     highest = 0
     for version in versions:
-        signed = sign_bundle(bundle, version, version, KEY)
+        signed = sign_bundle(bundle, version, version, SIGNING_KEY)
         store.offer(signed.envelope, lambda digests, s=signed: s.sections, "search")
         highest = max(highest, version)
         assert store.stamp.version == store.current().version == highest
 
 
 @searched(names=st.sets(NAMES, min_size=2, max_size=12), key=st.text(max_size=40))
-def homes_move_little(names, key):
+def only_keys_of_a_removed_replica_move(names, key):
     home = home_of(key, names)
     for gone in names:
         moved = home_of(key, names - {gone})
@@ -106,11 +108,11 @@
 @searched(gateway=NAMES, names=st.sets(NAMES, min_size=1, max_size=60), size=st.integers(2, 20))
 def subset_size(gateway, names, size):
     engines = {
-        name: Engine("pool", f"zone-{number % 3}", "127.0.0.1:1", ROLES[number % 3], "m")
+        name: Engine("pool", f"zone-{number % 3}", "127.0.0.1:1", ENGINE_ROLES[number % 3], "m")
         for number, name in enumerate(sorted(names))
     }
     chosen = choose_subset(gateway, "zone-1", engines, size)
-    for role in ROLES:
+    for role in ENGINE_ROLES:
         group = [name for name in names if engines[name].role == role]
         picked = [name for name in chosen if engines[name].role == role]
         assert len(picked) == min(size, len(group))
@@ -123,12 +125,14 @@
     share=st.floats(0, 1),
     present=st.sampled_from(["prefill", "decode"]),
 )
-def ladder_order(flexible, prefill, decode, share, present):
+def roles_follow_the_demand_by_rank(flexible, prefill, decode, share, present):
     roles = [
         desired_role(LadderPosition(rank, flexible, prefill, decode), share, present)
         for rank in range(flexible)
     ]
-    assert roles == sorted(roles, reverse=True), "a higher rank prefills before a lower one"
+    assert roles == sorted(roles, reverse=True), (
+        "roles must be ordered by rank: decode engines have higher ranks than prefill engines"
+    )
     more = [
         desired_role(LadderPosition(rank, flexible, prefill, decode), min(1, share + 0.2), present)
         for rank in range(flexible)
@@ -137,20 +141,20 @@
 
 
 @searched(now_ms=st.integers(0, 2**47))
-def key_names_time(now_ms):
+def key_encodes_its_creation_time(now_ms):
     assert key_time_ms(new_key(now_ms)) == now_ms
 
 
 @searched(steps=st.lists(st.sampled_from(["call", "answer", "fail", "tombstone"]), max_size=12))
-def key_runs_once(steps):
+def key_is_executed_at_most_once(steps):
     now_ms = 10**12
     record, key = IdempotencyStore(now_ms - 10**6), new_key(now_ms)
     runs, open_record, tombstoned = 0, None, False
     for step in steps:
         try:
             if step == "call":
-                found, is_mine = record.begin(key, now_ms, OLD)
-                assert not (is_mine and (tombstoned or runs)), "a key would run twice"
+                found, is_mine = record.begin(key, now_ms, RECORD_LIMITS)
+                assert not (is_mine and (tombstoned or runs)), "the key would be executed twice"
                 open_record = found if is_mine else open_record
             elif step == "answer" and open_record is not None:
                 runs, open_record = runs + 1, None
@@ -158,24 +162,24 @@
                 record.forget(key)
                 open_record = None
             elif step == "tombstone":
-                tombstoned = record.set_tombstone(key, now_ms, OLD) is None or tombstoned
+                tombstoned = record.set_tombstone(key, now_ms, RECORD_LIMITS) is None or tombstoned
         except YokedockError:
             assert tombstoned
     assert runs <= 1 and not (runs and tombstoned)
 
 
 LONG_STEP_S = 1000.0
-"""A step so long that the time a test takes does not show beside it."""
-NEVER_LATE_S = 1e9
+"""A step time so long that the duration of the test is negligible."""
+UNLIMITED_WAIT_S = 1e9
 
 
 @searched(slots=st.integers(1, 8), asked=st.integers(1, 30), tokens=st.integers(1, 10_000))
-def slots_hold(slots, asked, tokens):
+def grants_never_exceed_the_slots(slots, asked, tokens):
     table = SlotTable(slots, 1000.0)
     now, granted = boot_time_s(), 0
     for number in range(asked):
         try:
-            table.reserve(asked_slot(f"a{number}", tokens, 5, now))
+            table.reserve(prefilled_reservation(f"a{number}", tokens, 5, now))
             granted += 1
         except NoDecodeCapacity as refusal:
             assert refusal.retry_after_s > 0
@@ -183,27 +187,27 @@
 
 
 @searched(slots=st.integers(4, 32), urgent=st.integers(0, 60), low=st.integers(1, 40))
-def headroom_is_kept(slots, urgent, low):
-    """Long work of low priority never takes the slots held back; urgent work may take them all."""
+def headroom_is_kept_for_higher_priorities(slots, urgent, low):
+    """Long low-priority requests never take the headroom; urgent ones may take all slots."""
     table, now = SlotTable(slots, 1000.0), boot_time_s()
     for _ in range(urgent):
-        table.reserve(asked_slot("urgent", 100, 8, now))
+        table.reserve(prefilled_reservation("urgent", 100, 8, now))
         table.free("urgent")
-    granted = grant(table, low, 3, tokens=300)
+    granted = count_granted(table, low, 3, tokens=300)
     assert granted >= min(low, slots // 2 if urgent else slots)
     if urgent >= 20:
-        assert granted < slots, "nothing was held back"
-    assert granted + grant(table, slots, 8, tokens=100) == slots
+        assert granted < slots, "no slots were kept free for higher priorities"
+    assert granted + count_granted(table, slots, 8, tokens=100) == slots
 
 
 @searched(slots=st.integers(1, 32), urgent=st.integers(0, 60))
-def short_work_passes(slots, urgent):
-    """Work that is shorter than the urgent is not held back."""
+def short_requests_may_use_the_headroom(slots, urgent):
+    """Requests shorter than those of higher priority may use all slots."""
     table, now = SlotTable(slots, 1000.0), boot_time_s()
     for _ in range(urgent):
-        table.reserve(asked_slot("urgent", 100, 8, now))
+        table.reserve(prefilled_reservation("urgent", 100, 8, now))
         table.free("urgent")
-    assert grant(table, slots, 3, tokens=50) == slots
+    assert count_granted(table, slots, 3, tokens=50) == slots
 
 
 @searched(
@@ -211,17 +215,20 @@
     lengths=st.lists(st.integers(1, 50), max_size=30),
     started=st.integers(0, 30),
 )
-def promises_add_up(slots, lengths, started):
-    """Each promised time is when a slot really is free if every stream takes its longest."""
+def predicted_starts_match_the_schedule(slots, lengths, started):
+    """Each predicted start is when a slot is free if every stream runs for its maximum output."""
     table, now = SlotTable(slots, LONG_STEP_S * 1000.0), boot_time_s()
     free = [0.0] * slots
     for number, length in enumerate(lengths):
-        promised_s = table.reserve(asked_slot(f"a{number}", length, 5, now + NEVER_LATE_S)) - now
+        predicted_start_s = (
+            table.reserve(prefilled_reservation(f"a{number}", length, 5, now + UNLIMITED_WAIT_S))
+            - now
+        )
         if number < min(started, slots):
             table.start(f"a{number}")
             table.add_tokens(f"a{number}", 0)
         free.sort()
-        assert abs(promised_s - free[0]) < LONG_STEP_S / 2, (promised_s, free)
+        assert abs(predicted_start_s - free[0]) < LONG_STEP_S / 2, (predicted_start_s, free)
         free[0] += length * LONG_STEP_S
 
 
@@ -229,8 +236,8 @@
     slots=st.integers(1, 4),
     asked=st.lists(st.tuples(st.integers(0, 50), st.integers(1, 50), st.integers(0, 50))),
 )
-def promises_are_kept(slots, asked):
-    """No later reservation makes an earlier one late, in whatever order they get ready."""
+def new_reservations_delay_no_earlier_one(slots, asked):
+    """A new reservation makes no earlier one late, whatever the order of their ready times."""
     table, now = SlotTable(slots, 1000.0), boot_time_s()
     latest_s = {}
     for number, (ready_s, tokens, slack_s) in enumerate(asked):
@@ -246,17 +253,17 @@
     assert not late, late
 
 
-def asked_slot(attempt, tokens, priority, latest_s):
-    """Return a reservation whose prefill is over at once."""
+def prefilled_reservation(attempt, tokens, priority, latest_s):
+    """Return a reservation whose prefill has already ended."""
     return SlotEntry(attempt, priority, tokens, 0.0, latest_s, latest_s + 10_000)
 
 
-def grant(table, asked, priority, tokens):
-    """Ask for ``asked`` slots at once; return how many were granted."""
+def count_granted(table, asked, priority, tokens):
+    """Request ``asked`` slots; return how many were granted."""
     now, granted = boot_time_s(), 0
     for number in range(asked):
         try:
-            table.reserve(asked_slot(f"p{priority} a{number}", tokens, priority, now))
+            table.reserve(prefilled_reservation(f"p{priority} a{number}", tokens, priority, now))
             granted += 1
         except NoDecodeCapacity:
             continue
@@ -268,8 +275,8 @@
     steps=st.lists(st.tuples(st.sampled_from(["learn", "forget"]), st.integers(0, 1)), max_size=40),
     most=st.integers(1, 5),
 )
-def readers_learn_all(steps, most):
-    """Two readers that ask at different times end up knowing the same blocks as the source."""
+def readers_receive_all_cache_changes(steps, most):
+    """Two readers that poll at different times end up with the same blocks as the index."""
     known, readers = PrefixCacheIndex(), [(0, set()), (0, set())]
     for number, (step, block) in enumerate(steps):
         getattr(known, step)((block,))
@@ -291,13 +298,13 @@
 
 
 @searched(prompt=st.text(max_size=3000), more=st.text(max_size=3000))
-def blocks_are_prefix(prompt, more):
+def blocks_of_a_prefix_are_a_prefix(prompt, more):
     first, second = block_hashes(prompt), block_hashes(prompt + more)
     assert second[: len(first)] == first
 
 
 @searched(sizes=st.lists(st.integers(0, 4), min_size=1, max_size=20), gap=st.integers(0, 25))
-def parts_join(sizes, gap):
+def joined_parts_keep_the_tokens(sizes, gap):
     parts, sequence = [], 0
     for number, size in enumerate(sizes):
         sequence += 3 if number == gap else 0
@@ -313,14 +320,14 @@
 
 
 @searched(sizes=st.lists(st.integers(1, 5), min_size=1, max_size=20), known_case={"sizes": [2]})
-def one_gap_fewer(sizes):
+def gaps_are_one_fewer_than_tokens(sizes):
     clock = TokenTimings()
     for size in sizes:
         clock.arrived(size)
     assert sum(count for _, count in clock.gaps) == sum(sizes) - 1
 
 
-def refusals_say_when():
+def every_refusal_has_retry_after():
     kinds, found = [Refused], []
     while kinds:
         kind = kinds.pop()
@@ -334,23 +341,25 @@
 
 
 PROPERTIES = {
-    "a signed bundle opens to what was signed": signed_opens,
-    "an envelope with any altered byte is rejected or unchanged": altered_rejected,
-    "one changed tenant moves at most one shard": one_shard_moves,
-    "a store never goes back to an older version": never_older,
-    "a home changes only for the keys of a replica that left": homes_move_little,
+    "a signed bundle opens to what was signed": signed_bundle_round_trips,
+    "an envelope with any altered byte is rejected or unchanged": altered_envelope_is_rejected,
+    "one changed tenant moves at most one shard": one_changed_tenant_moves_one_shard,
+    "a store never goes back to an older version": store_version_never_decreases,
+    "a home changes only for the keys of a replica that left": only_keys_of_a_removed_replica_move,
     "every gateway's subset holds each role and stays in its size": subset_size,
-    "the ladder's roles follow the share of demand one by one": ladder_order,
-    "a fresh key names the time it was made": key_names_time,
-    "a key runs at most once whatever the order of calls": key_runs_once,
-    "slots never promise more than there are": slots_hold,
-    "room is held back for higher priorities, and only for them": headroom_is_kept,
-    "work shorter than the urgent is not held back": short_work_passes,
-    "no later reservation makes an earlier one late": promises_are_kept,
-    "promised times are those at which slots are free": promises_add_up,
-    "every gateway learns all changes of a prefix cache": readers_learn_all,
-    "an answer has one gap fewer than tokens, joined or not": one_gap_fewer,
-    "every kind of refusal says when to come back": refusals_say_when,
-    "a prefix's blocks are a prefix of the blocks": blocks_are_prefix,
-    "joined parts carry the same tokens": parts_join,
+    "the ladder's roles follow the share of demand one by one": roles_follow_the_demand_by_rank,
+    "a fresh key names the time it was made": key_encodes_its_creation_time,
+    "a key runs at most once whatever the order of calls": key_is_executed_at_most_once,
+    "slots never promise more than there are": grants_never_exceed_the_slots,
+    "room is held back for higher priorities, and only for them": (
+        headroom_is_kept_for_higher_priorities
+    ),
+    "work shorter than the urgent is not held back": short_requests_may_use_the_headroom,
+    "no later reservation makes an earlier one late": new_reservations_delay_no_earlier_one,
+    "promised times are those at which slots are free": predicted_starts_match_the_schedule,
+    "every gateway learns all changes of a prefix cache": readers_receive_all_cache_changes,
+    "an answer has one gap fewer than tokens, joined or not": gaps_are_one_fewer_than_tokens,
+    "every kind of refusal says when to come back": every_refusal_has_retry_after,
+    "a prefix's blocks are a prefix of the blocks": blocks_of_a_prefix_are_a_prefix,
+    "joined parts carry the same tokens": joined_parts_keep_the_tokens,
 }
--- a/features/support/reservation_properties.py
+++ b/features/support/reservation_properties.py
@@ -1,4 +1,4 @@
-"""When a call is repeated at a reserved backend instead of waiting for a slow one."""
+"""Properties of retries at a reserved backend in place of waiting for a slow one."""
 
 import asyncio
 import contextlib
@@ -29,7 +29,7 @@
 
 
 class ExchangeStub:
-    """An exchange without a connection. A slow backend needs most of the time to the deadline."""
+    """An exchange without a connection. A slow backend needs more than half of the call's time."""
 
     is_open = True
 
@@ -39,21 +39,21 @@
         self._exchanges = exchanges
 
     def start_silence_timer(self, max_silence_s):
-        """Ignore the limit: there is no connection to suspect."""
+        """Do nothing: there is no connection that could be silent."""
 
     async def send(self, order):
         """Record that the call was sent to the backend."""
         self._exchanges.asked.append(self.backend.name)
 
     async def read_whole(self, patience_s):
-        """Return the answer; raises ``BackendUnresponsive`` if a slow backend is not waited for.
+        """Return the response; raises ``BackendUnresponsive`` if the timeout is too short.
 
-        A read with no patience is the one that follows a reservation.
+        A timeout of zero marks the read that follows a reservation.
         """
         if patience_s == 0.0:
             self._exchanges.after_reservation()
         if self._is_slow and patience_s < TIME_LEFT_S / 2:
-            raise BackendUnresponsive(f"{self.backend.name} gave no answer")
+            raise BackendUnresponsive(f"{self.backend.name} did not respond in time")
         return BufferedResponse(ResponseHead((), 200, b"OK"), self.backend.name.encode())
 
 
@@ -67,7 +67,7 @@
 
     @contextlib.asynccontextmanager
     async def open(self, backend, call, has_permit=False):
-        """Open an exchange; raises if the backend is unwilling or has ended."""
+        """Open an exchange; raises if the backend does not accept requests or has ended."""
         self._slow = self._slow or backend
         backend.require_accepting(boot_time_s())
         if backend.has_ended:
@@ -101,12 +101,12 @@
 
 
 def asks_for_rest(registry, other, allowance):
-    """Let the reserved backend refuse another request and ask for rest."""
+    """Let the reserved backend refuse another request and ask for a pause."""
     other.apply_notices(REST_REFUSAL, boot_time_s())
 
 
 def restarts_and_asks_for_rest(registry, other, allowance):
-    """List a later life of the reserved backend, which asks for rest."""
+    """Replace the reserved backend by a restarted instance that asks for a pause."""
     registry.update([BackendEntry("other", SERVICE, "127.0.0.1:1", born_ms=2)], ())
     registry.get("other@2").apply_notices(REST_REFUSAL, boot_time_s())
 
@@ -117,8 +117,11 @@
     other.outstanding = 1
 
 
-def a_slow_backend_is_kept_if_the_reserved_one_became_unavailable():
-    """Guards against answering 502 while a backend is still working on the call."""
+def a_slow_backend_is_kept_if_the_reserved_one_is_unavailable():
+    """Guards against a 502 response while a backend is still processing the call.
+
+    The slow request is abandoned for the reserved backend, which has become unavailable meanwhile.
+    """
     assert asyncio.run(backends_asked(no_change)) == ["slow@1", "other@1"]
     for change in (asks_for_rest, restarts_and_asks_for_rest, runs_out_of_connections):
         asked = asyncio.run(backends_asked(change))
@@ -126,20 +129,20 @@
 
 
 def retry_budget_shrinks(registry, other, allowance):
-    """Leave no room in the retry budget, as after requests have left its window."""
+    """Exhaust the retry budget, as when requests have left its window."""
     allowance.has_room = lambda service, arrivals=1: False
 
 
-def a_reserved_repeat_is_made_though_the_budget_has_shrunk():
-    """Guards against answering 502 when the budget for the reserved repeat is already set aside."""
+def a_reserved_retry_is_sent_after_the_budget_shrinks():
+    """Guards against a 502 response although the budget for the reserved retry is set aside."""
     assert asyncio.run(backends_asked(retry_budget_shrinks)) == ["slow@1", "other@1"]
 
 
 RESERVATION_PROPERTIES = {
     "a reserved repeat is made though the budget has shrunk": (
-        a_reserved_repeat_is_made_though_the_budget_has_shrunk
+        a_reserved_retry_is_sent_after_the_budget_shrinks
     ),
     "a slow backend is kept if the reserved one became unavailable": (
-        a_slow_backend_is_kept_if_the_reserved_one_became_unavailable
+        a_slow_backend_is_kept_if_the_reserved_one_is_unavailable
     ),
 }
--- a/features/support/role_properties.py
+++ b/features/support/role_properties.py
@@ -1,7 +1,7 @@
-"""How many engines are told to change their role at once, without sockets.
+"""Properties of the number of concurrent role changes, without sockets.
 
-Pattern: a fleet of several hundred engines starts with a third of them reading prompts where a
-fifth is wanted, and traffic begins a few seconds later.
+Guards against a fleet of several hundred engines that starts with a third of them in the prefill
+role where a fifth is needed, with traffic a few seconds later.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 
 
 class RecordingBalancer(RoleBalancer):
-    """Gives its orders to nobody and keeps them."""
+    """Records its orders instead of sending them."""
 
     def __init__(self, engines, reading):
         roles = ["prefill"] * reading + ["decode"] * (engines - reading)
@@ -31,7 +31,7 @@
         self.ordered = []
 
     def role_order(self, order):
-        """Return the order as it stands, as a dialect would encode it."""
+        """Stand in for the dialect: return the order without encoding it."""
         return order
 
     async def _send(self, backend, order):
@@ -39,8 +39,8 @@
         return 202
 
 
-async def orders_in(balancer, rounds):
-    """Return how many orders were given after each round."""
+async def order_counts_by_round(balancer, rounds):
+    """Return the total number of orders after each round."""
     spec = ServiceSpec("llm", engine=TRAITS)
     await balancer._balance(spec)
     await asyncio.sleep(SETTLED_S + 0.05)
@@ -51,25 +51,25 @@
     return counts
 
 
-def roles_of_a_large_fleet_are_set_at_once():
-    """Before any traffic, 300 engines get their 45 orders in three rounds, and no more follow."""
+def a_large_fleet_gets_its_roles_without_delay():
+    """Without traffic, 300 engines get their 45 orders in three rounds, and no more follow."""
     balancer = RecordingBalancer(300, 105)
-    counts = asyncio.run(orders_in(balancer, 5))
+    counts = asyncio.run(order_counts_by_round(balancer, 5))
     needed = 105 - target_prefill_engines(300)
     assert counts[2] == counts[4] == needed == len(set(balancer.ordered)), counts
     assert {role for _, role in balancer.ordered} == {"decode"}
 
 
-def few_engines_change_while_answers_are_made():
-    """While answers are made one of 60 engines changes at a time, and six of 300."""
+def few_engines_change_roles_during_generation():
+    """During generation, one of 60 engines or six of 300 change their role at a time."""
     for engines, most in ((60, 1), (300, 6)):
         balancer = RecordingBalancer(engines, engines // 2)
         balancer.ledger.open_stream(StreamDemand(f"e{engines - 1}", 10, 0, 0))
-        counts = asyncio.run(orders_in(balancer, 4))
+        counts = asyncio.run(order_counts_by_round(balancer, 4))
         assert counts[-1] == most <= MOST_ORDERS, counts
 
 
 ROLE_PROPERTIES = {
-    "roles of a large fleet are set at once": roles_of_a_large_fleet_are_set_at_once,
-    "few engines change while answers are made": few_engines_change_while_answers_are_made,
+    "roles of a large fleet are set at once": a_large_fleet_gets_its_roles_without_delay,
+    "few engines change while answers are made": few_engines_change_roles_during_generation,
 }
--- a/features/support/router_properties.py
+++ b/features/support/router_properties.py
@@ -1,4 +1,4 @@
-"""Properties of the router's pure parts, searched the same way every time."""
+"""Properties of the router's pure parts, tested with deterministically generated cases."""
 
 import base64
 import itertools
@@ -26,7 +26,7 @@
 
 
 class Clock:
-    """A clock that only moves when told."""
+    """A clock that only advances when a test sets it."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -42,7 +42,7 @@
     cuts=st.integers(0, 6),
 )
 def two_leaders_are_a_lease_apart(seed, size, loss, cuts):
-    """Whatever is lost, cut or frozen, two routers never act within one lease of each other."""
+    """No two routers lead within one lease of each other, despite losses, partitions and stalls."""
     chance = random.Random(seed)
     clock = Clock()
     names = [f"10.0.0.{number}" for number in range(size)]
@@ -58,20 +58,20 @@
         if step in (80, 160):
             restarted = chance.choice(names)
             routers[restarted] = Leadership(restarted, LEASE_S, False, clock)
-        awake = [name for name in names if frozen_until[name] <= clock.now_s]
-        votes = {name: routers[name].vote() for name in awake}
-        for hearer in awake:
-            for voter in awake:
-                is_lost = chance.random() < loss or blocked.get((voter, hearer))
-                if voter != hearer and not is_lost:
-                    routers[hearer].heard(Vote(voter, votes[voter], clock.now_s))
-        acted += [(clock.now_s, name) for name in awake if routers[name].leads(size)]
+        running_routers = [name for name in names if frozen_until[name] <= clock.now_s]
+        votes = {name: routers[name].vote() for name in running_routers}
+        for recipient in running_routers:
+            for voter in running_routers:
+                is_lost = chance.random() < loss or blocked.get((voter, recipient))
+                if voter != recipient and not is_lost:
+                    routers[recipient].heard(Vote(voter, votes[voter], clock.now_s))
+        acted += [(clock.now_s, name) for name in running_routers if routers[name].leads(size)]
     for (before_s, before), (after_s, after) in itertools.pairwise(acted):
         assert before == after or after_s - before_s > LEASE_S, (before_s, before, after_s, after)
 
 
-def a_quiet_fleet_soon_has_one_leader():
-    """Without trouble there is one leader within two seconds of a first start."""
+def a_fleet_without_faults_soon_has_one_leader():
+    """Without faults, one leader is elected within two seconds of a first start."""
     for size in range(1, 7):
         clock = Clock()
         names = [f"10.0.0.{number}" for number in range(size)]
@@ -79,16 +79,16 @@
         for _ in range(8):
             clock.now_s += TICK_S
             votes = {name: router.vote() for name, router in routers.items()}
-            for hearer in names:
+            for recipient in names:
                 for voter in names:
-                    if voter != hearer:
-                        routers[hearer].heard(Vote(voter, votes[voter], clock.now_s))
+                    if voter != recipient:
+                        routers[recipient].heard(Vote(voter, votes[voter], clock.now_s))
         assert [name for name in names if routers[name].leads(size)] == names[:1]
 
 
-@searched(seed=st.integers(0, 10_000), routers=st.integers(1, 8), pressure=st.floats(0.1, 5.0))
-def the_fleet_keeps_the_retry_budget(seed, routers, pressure):
-    """In every window all routers together stay within the budget, however hard they retry."""
+@searched(seed=st.integers(0, 10_000), routers=st.integers(1, 8), retry_load=st.floats(0.1, 5.0))
+def the_fleet_stays_within_the_retry_budget(seed, routers, retry_load):
+    """In every window, all routers together stay within the retry budget at any retry load."""
     chance = random.Random(seed)
     clock = Clock()
     bounds = RetryBounds(0.2, 10.0, 50.0)
@@ -99,7 +99,7 @@
         router = chance.choice(fleet)
         requests.append(clock.now_s)
         with router.request("s") as retries:
-            while chance.random() < pressure / (1 + pressure) and retries.set_aside(1):
+            while chance.random() < retry_load / (1 + retry_load) and retries.set_aside(1):
                 retries.record_arrival()
                 extras.append(clock.now_s)
     for start_s in extras:
@@ -115,8 +115,8 @@
     cuts=st.lists(st.integers(1, 7), min_size=1, max_size=30),
     is_crlf=st.booleans(),
 )
-def events_are_the_same_however_they_are_cut(sizes, cuts, is_crlf):
-    """Whole events come out with their ids, wherever the network cuts the bytes."""
+def events_are_independent_of_read_boundaries(sizes, cuts, is_crlf):
+    """Complete events with their ids are parsed, however the bytes are split into reads."""
     end = b"\r\n" if is_crlf else b"\n"
     events = [
         b"id: %d" % number + end + b"data: " + b"x" * size + end + end
@@ -134,15 +134,15 @@
 
 
 @searched(made=st.integers(0, 2000), expected=st.integers(1, 1800), most=st.integers(1, 1870))
-def a_stream_is_promised_what_it_has_and_no_more_than_it_may_take(made, expected, most):
-    """The promise covers prompt and tokens made, and never more than the largest output."""
+def a_reservation_covers_the_tokens_up_to_the_maximum(made, expected, most):
+    """A reservation covers the prompt and the generated tokens, up to the maximum output."""
     made = min(made, most)
     demand = StreamDemand("e", 500, min(expected, most), most, made)
     assert 500 + made <= demand.memory_tokens() <= 500 + most + 1
 
 
-def promises_of_a_silent_router_are_dropped():
-    """What a router that fell silent had promised counts for two seconds, then no more."""
+def reservations_of_a_silent_router_expire():
+    """Reservations of a router that stopped sending expire after two seconds."""
     clock = Clock()
     ledger = EngineLedger(clock)
     ledger.heard("other", {"e": EngineShare(700, 2, 30)})
@@ -153,8 +153,8 @@
     assert (ledger.memory_tokens("e"), ledger.streams("e")) == (0, 0)
 
 
-def a_slow_engine_is_known_and_forgiven():
-    """An engine with pauses four times as long counts as slow, less so as time passes."""
+def slowness_is_measured_and_decays():
+    """An engine with pauses four times as long is rated slow; the rating decays over time."""
     clock = Clock()
     pace = EnginePerformance(clock)
     for _ in range(30):
@@ -169,8 +169,8 @@
 
 
 @searched(reading=st.integers(0, 12), making=st.integers(0, 12))
-def changes_of_roles_end_at_the_wanted_split(reading, making):
-    """One change after the other leads to the wanted number of readers, and then none follows."""
+def role_changes_converge_to_the_target(reading, making):
+    """Successive changes reach the target number of prefill engines, then none follows."""
     roles = ["prefill"] * reading + ["decode"] * making
     engines = [EngineRole(f"e{number}", role, number) for number, role in enumerate(roles)]
     for _ in range(len(engines) + 1):
@@ -182,27 +182,30 @@
             for e in engines
         ]
     else:
-        raise AssertionError("changes do not end")
+        raise AssertionError("role changes do not converge")
     if len(engines) >= 2:
         assert sum(e.role == "prefill" for e in engines) == target_prefill_engines(len(engines))
 
 
 @searched(prefixes=st.lists(st.lists(st.sampled_from("ab"), max_size=3), min_size=1, max_size=6))
-def the_longest_prefix_finds_the_route(prefixes):
-    """The route with the longest prefix that begins the path is found, on its host alone."""
+def the_longest_prefix_determines_the_route(prefixes):
+    """The route with the longest prefix of the path is found, for its own host only."""
     texts = sorted({"/" + "".join(f"{part}/" for part in parts) for parts in prefixes})
     targets = (WeightedTarget("s"),)
     routes = [Route(t, "Hut.example", t, RouteKind.ONCE, 1, 1, targets) for t in texts]
     index = RouteIndex(RouteTable(1, tuple(routes), {}))
     for path in ("/", "/a/", "/a/b/x", "/b/b/b/a", "/ab/"):
-        fitting = [t for t in texts if path.startswith(t)]
+        matching_prefixes = [t for t in texts if path.startswith(t)]
         found = index.find("hut.EXAMPLE:8080", path)
-        assert (found.name if found else None) == max(fitting, key=len, default=None)
+        assert (found.name if found else None) == max(matching_prefixes, key=len, default=None)
         assert index.find("other.example", path) is None
 
 
-def documents_of_the_platform_become_routes_and_backends():
-    """The platform's own examples are understood; what is not changes nothing."""
+def platform_documents_are_decoded():
+    """Documents of the platform are decoded, and undecodable ones are reported.
+
+    The backend of an undecodable document is removed; an undecodable route table is ignored.
+    """
     configuration = {
         "version": 7,
         "routes": [
@@ -248,8 +251,8 @@
 
 
 @searched(gaps=st.lists(st.floats(0, 0.5), min_size=1, max_size=200))
-def lines_stay_within_their_budget(gaps):
-    """In no second more than twice the allowed lines are written, and all others are counted."""
+def log_lines_stay_within_their_limit(gaps):
+    """At most twice the configured lines are written in any second; dropped ones are counted."""
     clock = Clock()
     budget = LineBudget(5.0, clock)
     written, dropped = [], 0
@@ -264,8 +267,8 @@
         assert sum(1 for at_s in written if start_s <= at_s < start_s + 1) <= 10
 
 
-def a_line_tells_how_many_were_dropped():
-    """The first line after the budget was spent tells the count; warnings have their own."""
+def the_next_line_reports_dropped_lines():
+    """The first line after lines were dropped reports how many; warnings have their own limit."""
     lines = []
     budgets = (LineBudget(2.0, Clock()), LineBudget(2.0, Clock()))
     handler = BoundedJsonLinesHandler(lambda line: lines.append(line) or True, "INFO", *budgets)
@@ -280,20 +283,18 @@
 
 
 ROUTER_PROPERTIES = {
-    "lines stay within their budget": lines_stay_within_their_budget,
-    "a line tells how many were dropped": a_line_tells_how_many_were_dropped,
+    "lines stay within their budget": log_lines_stay_within_their_limit,
+    "a line tells how many were dropped": the_next_line_reports_dropped_lines,
     "two leaders are a lease apart": two_leaders_are_a_lease_apart,
-    "a quiet fleet soon has one leader": a_quiet_fleet_soon_has_one_leader,
-    "the fleet keeps the retry budget": the_fleet_keeps_the_retry_budget,
-    "events are the same however they are cut": events_are_the_same_however_they_are_cut,
+    "a quiet fleet soon has one leader": a_fleet_without_faults_soon_has_one_leader,
+    "the fleet keeps the retry budget": the_fleet_stays_within_the_retry_budget,
+    "events are the same however they are cut": events_are_independent_of_read_boundaries,
     "a stream is promised what it has and no more than it may take": (
-        a_stream_is_promised_what_it_has_and_no_more_than_it_may_take
-    ),
-    "promises of a silent router are dropped": promises_of_a_silent_router_are_dropped,
-    "a slow engine is known and forgiven": a_slow_engine_is_known_and_forgiven,
-    "changes of roles end at the wanted split": changes_of_roles_end_at_the_wanted_split,
-    "the longest prefix finds the route": the_longest_prefix_finds_the_route,
-    "documents of the platform become routes and backends": (
-        documents_of_the_platform_become_routes_and_backends
+        a_reservation_covers_the_tokens_up_to_the_maximum
     ),
+    "promises of a silent router are dropped": reservations_of_a_silent_router_expire,
+    "a slow engine is known and forgiven": slowness_is_measured_and_decays,
+    "changes of roles end at the wanted split": role_changes_converge_to_the_target,
+    "the longest prefix finds the route": the_longest_prefix_determines_the_route,
+    "documents of the platform become routes and backends": (platform_documents_are_decoded),
 }
--- a/features/support/router_world.py
+++ b/features/support/router_world.py
@@ -1,4 +1,4 @@
-"""A router, its backends and callers in one event loop on a thread of its own."""
+"""Runs a router, its backends and callers in one event loop on a separate thread."""
 
 import asyncio
 import itertools
@@ -44,24 +44,26 @@
 
 HOST = "hut.example"
 LIMIT_S = 20.0
-_port_numbers = itertools.count()
-PAIRS = Mechanisms(decode_reads_when_calm=False)
-"""Scenarios have few streams at a time, and most are about pairs of engines."""
-RETRIES = RetrySettings()
+_port_offsets = itertools.count()
+ENGINE_PAIRS_ONLY = Mechanisms(decode_reads_when_calm=False)
+"""Disables prefills on decode engines at low load: scenarios have few concurrent streams, and most
+test pairs of a prefill and a decode engine."""
+DEFAULT_RETRY_SETTINGS = RetrySettings()
 TRAITS = EngineTraits(slots=4, memory_tokens=1000, token_bytes=1.0, link_mbps=1000.0)
 
 
 def free_address():
-    """Return an address on loopback that nobody listens on, of this worker's own range.
+    """Return an unused loopback address in the port block of this test worker.
 
-    A port that the kernel picks may be taken by a connection of another worker before it is bound.
+    An ephemeral port chosen by the kernel could be taken by an outgoing connection of another
+    worker before it is bound.
     """
     first = int(os.environ.get(PORT_BASE_VARIABLE, FIRST_PORT))
     for _ in range(PORTS_PER_BLOCK):
-        port = first + next(_port_numbers) % PORTS_PER_BLOCK
+        port = first + next(_port_offsets) % PORTS_PER_BLOCK
         if _is_free(port):
             return f"127.0.0.1:{port}"
-    raise AssertionError(f"no port is free from {first} on; wait for other test runs to end")
+    raise AssertionError(f"no free port in the block at {first}; wait for other test runs to end")
 
 
 def _is_free(port):
@@ -77,14 +79,14 @@
 
 
 def route(name, service, kind, **options):
-    """Return a route with the prefix of its own name."""
+    """Return a route whose path prefix is its name."""
     targets = (WeightedTarget(service),)
     options = {"timeout_s": 60.0, "target_s": 2.0, "max_attempts": 2, **options}
     return Route(name, HOST, f"/{name}/", RouteKind(kind), targets=targets, **options)
 
 
 def table(version, **limits):
-    """Return a table with a route of each kind."""
+    """Return a route table with routes of each kind."""
     routes = (
         route("repeat", "plain", "repeatable"),
         route("once", "plain", "once"),
@@ -97,8 +99,8 @@
     return RouteTable(version, routes, services, CallerLimits(**limits))
 
 
-class ScriptedState(StateSource):
-    """A source that knows what a scenario tells it, and may be silent."""
+class ScriptedStateSource(StateSource):
+    """A state source controlled by the scenario; it can be made unresponsive."""
 
     def __init__(self, first):
         self.snapshot = first
@@ -107,27 +109,27 @@
 
     async def read(self):
         if self.is_silent or self.snapshot is None:
-            raise PlatformUnavailable("silent")
+            raise PlatformUnavailable("state source does not respond")
         return self.snapshot
 
     async def wait(self, position, max_duration_s):
         if self.is_silent:
-            raise PlatformUnavailable("silent")
+            raise PlatformUnavailable("state source does not respond")
         change = await self._changes.get()
         if isinstance(change, Exception):
             raise change
         return change
 
     def fail(self):
-        """Raise what nobody expects from a source."""
-        self._changes.put_nowait(RuntimeError("a defect in the source"))
+        """Make ``wait`` raise an exception that routers do not expect."""
+        self._changes.put_nowait(RuntimeError("unexpected error in the state source"))
 
     def tell(self, changes):
         self._changes.put_nowait(changes)
 
 
 class RouterWorld:
-    """Starts and stops everything; ``run`` executes a coroutine in the loop."""
+    """Starts and stops backends and routers; ``run`` executes a coroutine in the loop."""
 
     def __init__(self):
         self.loop = new_event_loop()
@@ -135,14 +137,14 @@
         self._thread.start()
         self.backends = {}
         self.position = 1
-        self._life = []
+        self._started_routers = []
 
     def run(self, work):
         """Run ``work`` in the loop and return its result."""
         return asyncio.run_coroutine_threadsafe(work, self.loop).result(LIMIT_S)
 
     def add_backend(self, name, service, role="", slots=4):
-        """Start a backend."""
+        """Create a backend and start to listen."""
 
         async def start():
             self.backends[name] = StandInBackend(name, service, role, slots)
@@ -151,7 +153,7 @@
         self.run(start())
 
     def entry(self, name, is_leaving=False):
-        """Return a backend's entry as a registry lists it."""
+        """Return the registry entry of a backend."""
         backend = self.backends[name]
         return BackendEntry(
             name,
@@ -163,7 +165,7 @@
         )
 
     def snapshot(self, version=1, **limits):
-        """Return everything that is listed."""
+        """Return a snapshot with the route table and all backends."""
         entries = {name: self.entry(name) for name in self.backends}
         return StateSnapshot(SourcePosition(0, self.position), table(version, **limits), entries)
 
@@ -174,15 +176,15 @@
         address="",
         grace_s=8.0,
         sockets=None,
-        mechanisms=PAIRS,
+        mechanisms=ENGINE_PAIRS_ONLY,
         source=None,
-        retries=RETRIES,
+        retries=DEFAULT_RETRY_SETTINGS,
         is_first_start=True,
     ):
-        """Start a router; return it.
+        """Start a router and return it once it listens.
 
-        ``sockets`` listen already, callers' first, by address. ``source`` is read in place of one
-        that knows ``snapshot``.
+        ``sockets`` are listening sockets by address, the one for callers first. ``source`` is used
+        instead of a scripted source with ``snapshot``.
         """
         callers = list(sockets or (free_address(), free_address()))
         settings = RouterSettings(
@@ -197,12 +199,12 @@
         )
 
         async def start():
-            router_source = source or ScriptedState(snapshot)
+            router_source = source or ScriptedStateSource(snapshot)
             router = Router(settings, router_source, HeaderDialect(), sockets)
             router.source = router_source
             router.stop_event = asyncio.Event()
             router.life = asyncio.create_task(router.run(router.stop_event))
-            self._life.append(router)
+            self._started_routers.append(router)
             while not router.is_listening:
                 if router.life.done():
                     router.life.result()
@@ -212,7 +214,7 @@
         return self.run(start())
 
     def wait_for(self, check, what):
-        """Wait in the loop until ``check`` holds."""
+        """Wait until ``check``, evaluated in the loop, returns true."""
 
         async def poll():
             async with asyncio.timeout(LIMIT_S):
@@ -222,22 +224,22 @@
         try:
             self.run(poll())
         except TimeoutError:
-            raise AssertionError(f"never: {what}") from None
+            raise AssertionError(f"timed out waiting for: {what}") from None
 
     def tell(self, router, changed=(), gone=(), new_table=None):
-        """Tell a router of changes through its source, and wait until it knows them."""
+        """Send changes through the source of a router, and wait until it has applied them."""
         self.position += 1
         changes = StateChanges(
             SourcePosition(0, self.position), new_table, tuple(changed), tuple(gone)
         )
         self.loop.call_soon_threadsafe(router.source.tell, changes)
-        self.wait_for(lambda: router.position.revision >= self.position, "changes taken over")
+        self.wait_for(lambda: router.position.revision >= self.position, "changes applied")
 
     def close(self):
-        """End everything."""
+        """Stop all routers and backends, cancel the remaining tasks, and close the loop."""
 
         async def end():
-            for router in self._life:
+            for router in self._started_routers:
                 router.life.cancel()
             for backend in self.backends.values():
                 await backend.stop()
@@ -253,7 +255,7 @@
 
 
 class RawCaller:
-    """A caller that writes bytes and reads answers, so that nothing is hidden."""
+    """An HTTP caller that works on raw bytes, so that tests see each response as sent."""
 
     def __init__(self, world, address):
         self._world = world
@@ -265,51 +267,51 @@
         self._reader, self._writer = world.run(connect())
 
     def send(self, data):
-        """Write bytes."""
+        """Write ``data`` to the connection."""
         self._world.loop.call_soon_threadsafe(self._writer.write, data)
 
     def read_answer(self):
-        """Return (status, headers, body, is_whole) of one answer."""
+        """Return (status, headers, body, is_whole) of one response."""
         return self._world.run(self._read_answer())
 
     def read_until(self, mark):
-        """Return the bytes up to and with ``mark``."""
+        """Return the received bytes up to and including ``mark``."""
         return self._world.run(self._reader.readuntil(mark))
 
-    def read_all(self):
-        """Return what comes until the connection ends."""
+    def read_to_eof(self):
+        """Return all bytes until the end of the connection."""
         return self._world.run(self._reader.read())
 
     def read_all_of_answer(self):
-        """Read on until the answer is whole or cut off."""
-        self._world.run(self._read_to_end())
+        """Read until the end of a chunked response or of the connection."""
+        self._world.run(self._read_to_last_chunk())
 
     def leave(self):
-        """Close at once."""
+        """Abort the connection."""
         self._world.loop.call_soon_threadsafe(self._writer.transport.abort)
 
-    async def _read_to_end(self):
+    async def _read_to_last_chunk(self):
         try:
             await self._reader.readuntil(b"\r\n0\r\n\r\n")
         except (asyncio.IncompleteReadError, ConnectionError):
             return
 
     def close(self):
-        """Close in order, from within the loop."""
+        """Close the connection normally. Must be called in the event loop."""
         self._writer.close()
 
     def reset(self):
-        """Close with a reset, from within the loop."""
+        """Close with a TCP reset. Must be called in the event loop."""
         sock = self._writer.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._writer.transport.abort()
 
     def end_sending(self):
-        """Close the sending side alone, from within the loop."""
+        """Half-close: shut down the sending side only. Must be called in the event loop."""
         self._writer.write_eof()
 
     def stop_reading(self):
-        """Leave what comes in the kernel's buffers, from within the loop."""
+        """Leave received data in the kernel's buffers. Must be called in the event loop."""
         self._writer.transport.pause_reading()
 
     async def _read_answer(self):
@@ -334,7 +336,7 @@
 
 
 def request_bytes(name, method="POST", path="x?y=%2F&z", body=b"", headers=(), request_id="r-1"):
-    """Return one request on a route."""
+    """Return the bytes of one HTTP request for a route."""
     lines = [f"{method} /{name}/{path} HTTP/1.1", f"Host: {HOST}", f"X-Request-Id: {request_id}"]
     lines += [f"{key}: {value}" for key, value in headers]
     if body or method == "POST":
--- a/features/support/search.py
+++ b/features/support/search.py
@@ -1,12 +1,12 @@
-"""How properties are searched: the same way every time."""
+"""Deterministic property-based tests: every run generates the same cases."""
 
 from hypothesis import HealthCheck, example, given, settings
 
 
 def searched(known_case=None, **strategies):
-    """Turn a property into a search that goes the same way every time.
+    """Turn a check into a property-based test that generates the same cases in every run.
 
-    ``known_case`` is tried first: a case that once failed, or that the search reaches seldom.
+    ``known_case`` is tested first: a case that has failed before, or that is rarely generated.
     """
 
     def wrap(check):
--- a/features/support/simulated_world.py
+++ b/features/support/simulated_world.py
@@ -19,7 +19,7 @@
         self.loop = self._simulation.enter_context(simulation(seed))
         self.backends = {}
         self.position = 1
-        self._life = []
+        self._started_routers = []
 
     def run(self, work):
         """Run ``work`` in the loop and return its result; the timeout is in simulated time."""
@@ -27,6 +27,6 @@
 
     def close(self):
         """Cancel the routers, then all remaining tasks, and end the simulation."""
-        for router in self._life:
+        for router in self._started_routers:
             router.life.cancel()
         self._simulation.close()
--- a/features/support/stand_in_backend.py
+++ b/features/support/stand_in_backend.py
@@ -1,6 +1,6 @@
-"""A backend that speaks the product's own dialect and keeps a ledger of what it was asked.
+"""A fake backend that speaks the product's own HTTP dialect and records its requests.
 
-What it does wrong is set by ``faults``: names of faults that are taken one a request, in order.
+Faults are injected by name through ``faults``: each request consumes the next one, in order.
 """
 
 import asyncio
@@ -12,15 +12,15 @@
 
 from yokedock.base.clock import boot_time_s
 
-PIECES = 6
-SLOW_PIECE_S = 0.1
-"""Pause before each byte of an answer that flows slowly: eleven bytes take 1.1 s."""
+DEFAULT_EVENT_COUNT = 6
+SLOW_BYTE_INTERVAL_S = 0.1
+"""Delay before each byte of a slow response body: eleven bytes take 1.1 s."""
 CACHE_PATH = "/cache"
 
 
 @dataclasses.dataclass
 class Arrival:
-    """One request as it came."""
+    """One request as received."""
 
     method: str
     target: str
@@ -29,19 +29,19 @@
     arrived_s: float = 0.0
     was_closed: bool = False
     has_ended: bool = False
-    """Whether the work for it has ended, in whatever way."""
+    """Whether its processing has ended, with or without success."""
     ended_backend: bool = False
-    """Whether the backend ended as it began to run the request."""
+    """Whether the backend crashed when it started to run the request."""
     was_unanswered: bool = False
-    """It came on a connection that had gone silent: nothing was sent back."""
+    """Whether it was received on an unresponsive connection, so that nothing was sent back."""
 
     def header(self, name):
-        """Return the first value of a header, None if absent."""
+        """Return the first value of a header, or None if it is absent."""
         return next((v for n, v in self.headers if n.lower() == name.lower()), None)
 
 
 class StandInBackend:
-    """One listening backend; ``arrivals`` is its ledger."""
+    """One listening backend; ``arrivals`` records the requests that it received."""
 
     def __init__(self, name, service, role="", slots=4):
         self.name, self.service, self.role, self.slots = name, service, role, slots
@@ -52,48 +52,48 @@
         self.gate.set()
         self.body_gate = asyncio.Event()
         self.body_gate.set()
-        """While it is clear, heads are read and bodies are left in the connection."""
+        """While it is clear, request headers are read but bodies are left unread in the socket."""
         self.heads_read = 0
-        self.pieces = PIECES
+        self.pieces = DEFAULT_EVENT_COUNT
         self.padding = ""
-        """Text at the end of each piece."""
+        """Text appended to the data of each event."""
         self.pieces_written = 0
         self.event_gap_s = 0.0
         self.on_event = lambda number: None
-        """Called with the number of each event that was sent."""
+        """Called with the number of each event after it was sent."""
         self.is_leaving = False
-        """It says so in all its answers."""
+        """Whether all its responses announce that it is shutting down."""
         self.limit = None
-        """What all its answers name as the requests a second that it takes, as text."""
+        """Requests per second that all its responses announce as the limit, as text, or None."""
         self.answer_delay_s = lambda arrival: 0.0
-        """How long it works on a request before its answer begins."""
+        """Returns the processing time of a request before its response starts."""
         self.dies_when_broken = False
         self.dies_of = None
-        """Bytes in a body; the backend ends when it begins to run such a request."""
+        """The backend crashes when it starts to run a request whose body contains these bytes."""
         self.on_death = lambda: None
-        """Called when such a request has ended it."""
+        """Called after such a request has crashed it."""
         self.forgets_when_broken = False
         self.cache = {}
-        """Tokens kept of each part of prompts; None: it does not answer when asked for them."""
+        """Cached tokens by prompt part; if None, requests for the contents get no response."""
         self.connections = 0
         self.most_connections = math.inf
-        """Connections that it takes at a time; it resets any more."""
+        """Maximum number of concurrent connections; further ones are reset."""
         self.resets = 0
-        """Connections that were reset for that."""
+        """Number of connections reset because of ``most_connections``."""
         self._late_answer = b""
         self._port = 0
-        self._held_port = None
+        self._port_holder = None
         self._writers = set()
         self._silent = set()
         self._is_stopped = False
-        """A connection may have been accepted and not begun to be served as it stops."""
+        """Checked per request: a connection may be accepted, but not yet served, at the stop."""
 
     async def start(self):
-        """Listen on any free port, after a stop on the same."""
+        """Listen on any free port, or on the previous port after a stop."""
         self._is_stopped = False
-        if self._held_port is not None:
-            self._held_port.close()
-            self._held_port = None
+        if self._port_holder is not None:
+            self._port_holder.close()
+            self._port_holder = None
         self._server = await asyncio.start_server(
             self._serve, "127.0.0.1", self._port, reuse_address=True
         )
@@ -101,33 +101,33 @@
         self.address = f"127.0.0.1:{self._port}"
 
     async def stop(self):
-        """Close everything at once; the port stays taken, so that nobody else answers there."""
+        """Close everything at once; the port stays bound so that no other process can take it."""
         self._is_stopped = True
         self._server.close()
-        self._held_port = socket.socket()
-        self._held_port.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        self._held_port.bind(("127.0.0.1", self._port))
+        self._port_holder = socket.socket()
+        self._port_holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        self._port_holder.bind(("127.0.0.1", self._port))
         self.break_off()
 
     def break_off(self):
-        """Reset all connections, and listen on; from within the loop."""
+        """Reset all connections but continue to listen. Must be called in the event loop."""
         for writer in list(self._writers):
             writer.transport.abort()
 
     def go_silent(self):
-        """Send nothing more on the connections that are open now; new ones work."""
+        """Stop responding on all open connections; new ones are served normally."""
         self._silent |= self._writers
 
     def open_connections(self):
-        """Return the connections that are open now."""
+        """Return the writers of all open connections."""
         return set(self._writers)
 
     def unanswered(self):
-        """Return the arrivals on connections that had gone silent."""
+        """Return the requests received on unresponsive connections."""
         return [arrival for arrival in self.arrivals if arrival.was_unanswered]
 
     def runs(self):
-        """Return the arrivals that were run: neither refused nor only read."""
+        """Return all recorded requests except those for a single stage, such as a prefill."""
         return [a for a in self.arrivals if a.header("X-Stage") is None]
 
     async def _serve(self, reader, writer):
@@ -167,7 +167,7 @@
             await reader.read(1)
             return False
         if target == CACHE_PATH:
-            return await self._list_cache(arrival, writer)
+            return await self._send_cache_contents(arrival, writer)
         arrival.arrived_s = boot_time_s()
         self.arrivals.append(arrival)
         if writer in self._silent:
@@ -175,7 +175,7 @@
             await self._watch(reader, arrival)
             return False
         if method == "DELETE":
-            return self._plain(writer, arrival, 200, b"", [])
+            return self._write_response(writer, arrival, 200, b"", [])
         watch = asyncio.create_task(self._watch(reader, arrival))
         try:
             return await self._answer(arrival, writer)
@@ -184,19 +184,19 @@
             watch.cancel()
             await asyncio.wait({watch})
 
-    def _keep_prompt(self, arrival):
+    def _cache_prompt(self, arrival):
         parts = (part.split(":") for part in (arrival.header("X-Prompt-Parts") or "").split(","))
         if self.cache is not None:
             self.cache.update({name: int(tokens) for name, tokens in parts})
 
-    async def _list_cache(self, arrival, writer):
+    async def _send_cache_contents(self, arrival, writer):
         if self.cache is None:
             await asyncio.sleep(3600)
         held = [["", part, tokens, "m"] for part, tokens in self.cache.items()]
-        return self._plain(writer, arrival, 200, json.dumps({"held": held}).encode(), [])
+        return self._write_response(writer, arrival, 200, json.dumps({"held": held}).encode(), [])
 
     async def _watch(self, reader, arrival):
-        """Note when the caller closes, or resets, while the request is worked on."""
+        """Record that the caller closed or reset the connection during the request."""
         with contextlib.suppress(ConnectionError):
             await reader.read(1)
         arrival.was_closed = True
@@ -209,33 +209,35 @@
         if fault == "silent":
             await asyncio.sleep(3600)
         if fault == "refuse":
-            return self._plain(writer, arrival, 503, b"full", [("X-Not-Run", "1")])
+            return self._write_response(writer, arrival, 503, b"full", [("X-Not-Run", "1")])
         if fault.startswith("rest "):
             extra = [("X-Not-Run", "1"), ("Retry-After", fault.removeprefix("rest "))]
-            return self._plain(writer, arrival, 503, b"busy", extra)
+            return self._write_response(writer, arrival, 503, b"busy", extra)
         if arrival.header("X-Expected-Backend") not in (None, self.name):
-            return self._plain(writer, arrival, 421, b"", [])
+            return self._write_response(writer, arrival, 421, b"", [])
         if fault == "late answer to another":
-            self._plain(writer, arrival, 200, b"foreign", [], request_id="somebody-else")
+            self._write_response(writer, arrival, 200, b"foreign", [], request_id="somebody-else")
         if fault == "error":
-            return self._plain(writer, arrival, 500, b"broken", [("X-Signature", self.name)])
+            return self._write_response(
+                writer, arrival, 500, b"broken", [("X-Signature", self.name)]
+            )
         await self.gate.wait()
         await asyncio.sleep(self.answer_delay_s(arrival))
         is_run = arrival.header("X-Stage") is None
         if is_run and self.dies_of is not None and self.dies_of in arrival.body:
-            await self._die(arrival, writer)
+            await self._crash_during(arrival, writer)
             return False
         if self.role:
-            self._keep_prompt(arrival)
+            self._cache_prompt(arrival)
         if arrival.header("X-Stage") == "prefill":
             body = json.dumps({"handle": f"h{len(self.arrivals)}", "tokens": 5}).encode()
-            return self._plain(writer, arrival, 200, body, [], signed=False)
+            return self._write_response(writer, arrival, 200, body, [], signed=False)
         if self.role:
             return await self._stream(arrival, writer, fault)
         return await self._whole(arrival, writer, fault)
 
-    async def _die(self, arrival, writer):
-        """Begin to answer and end, with everything that runs here."""
+    async def _crash_during(self, arrival, writer):
+        """Send the start of a response, then crash, which aborts all requests on this backend."""
         arrival.ended_backend = True
         writer.write(self._head(arrival, 200, [("Transfer-Encoding", "chunked")]))
         await writer.drain()
@@ -251,7 +253,7 @@
         lines += [f"{name}: {value}" for name, value in extra]
         return ("\r\n".join(lines) + "\r\n\r\n").encode()
 
-    def _plain(self, writer, arrival, status, body, extra, signed=True, request_id=None):
+    def _write_response(self, writer, arrival, status, body, extra, signed=True, request_id=None):
         signed = signed and status == 200
         extra = [*extra, ("Content-Length", str(len(body)))]
         writer.write(self._head(arrival, status, extra, signed, request_id) + body)
@@ -268,7 +270,7 @@
             writer.write(self._head(arrival, 200, [("Content-Length", str(len(body)))]))
             for byte in body:
                 await writer.drain()
-                await asyncio.sleep(SLOW_PIECE_S)
+                await asyncio.sleep(SLOW_BYTE_INTERVAL_S)
                 writer.write(bytes([byte]))
             return True
         if fault == "ends with the connection":
@@ -276,8 +278,8 @@
             await writer.drain()
             return False
         if fault == "encoded":
-            return self._plain(writer, arrival, 200, body, [("Content-Encoding", "gzip")])
-        self._plain(writer, arrival, self.answer_status, body, [("X-Own", "kept")])
+            return self._write_response(writer, arrival, 200, body, [("Content-Encoding", "gzip")])
+        self._write_response(writer, arrival, self.answer_status, body, [("X-Own", "kept")])
         if fault == "bytes behind":
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
         return True
--- a/features/support/stream_properties.py
+++ b/features/support/stream_properties.py
@@ -1,4 +1,4 @@
-"""Properties of what decides about streams that fell silent, without sockets."""
+"""Properties of silence detection, queued placement and cache lookups, without sockets."""
 
 import asyncio
 import math
@@ -29,7 +29,7 @@
 
 
 class Clock:
-    """A clock that only moves when told."""
+    """A clock that only advances when a test sets it."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -46,14 +46,14 @@
 
 
 class CallStub:
-    """The little of a caller's request that placement looks at."""
+    """The only field of a caller's request that placement reads."""
 
     def __init__(self, arrived_s):
         self.arrived_s = arrived_s
 
 
 def generation(arrived_s, prompt_tokens=100, deadline_s=14.0):
-    """Return a call for a generation that arrived then; its callers wait 3.6 s for an event."""
+    """Return a generation that arrived at ``arrived_s``; its caller times out after 3.6 s."""
     route = Route(
         "chat", "h", "/", RouteKind.STREAM, 14.0, 0.9, (WeightedTarget("llm"),), gap_target_s=0.3
     )
@@ -63,13 +63,13 @@
     return RoutedCall(CallStub(arrived_s), None, terms, route, ServiceSpec("llm", engine=TRAITS))
 
 
-def a_stream_that_broke_late_waits_for_room():
-    """Patience counts from the newest event, not from the request's arrival."""
+def caller_timeout_counts_from_the_latest_event():
+    """The caller timeout counts from the latest event, not from the arrival of the request."""
 
     async def play():
         now_s = boot_time_s()
         ledger = EngineLedger()
-        placement = QueuedPlacement(registry("d"), ledger, none_elsewhere)
+        placement = QueuedPlacement(registry("d"), ledger, no_remote_queue)
         taken = ledger.open_stream(StreamDemand("d", 1000, 0, 0))
         asyncio.get_running_loop().call_later(0.05, ledger.close_stream, taken)
         late = Progress(made=10, silent_since_s=now_s - 1.0)
@@ -79,18 +79,18 @@
             await placement.place(generation(now_s - 5.0), Progress(silent_since_s=now_s - 4.0))
         except NoDecodeCapacity:
             return
-        raise AssertionError("waited longer than its caller does")
+        raise AssertionError("the request stayed queued after the timeout of its caller")
 
     asyncio.run(play())
 
 
-def none_elsewhere(service):
-    """Return that nothing waits at other routers."""
+def no_remote_queue(service):
+    """Return an empty queue for all other routers."""
     return QueueShare()
 
 
 def filled(*engines, streams=1, need=1000):
-    """Return a ledger in which engines are full, and the promises there."""
+    """Return a ledger in which ``engines`` are full, and the reservations that fill them."""
     ledger = EngineLedger()
     taken = [
         ledger.open_stream(StreamDemand(name, need // streams, 0, 0))
@@ -100,8 +100,11 @@
     return ledger, taken
 
 
-def whoever_cannot_be_served_is_refused_at_once():
-    """Its turn would come after its caller gives up: it is told so, and when room is predicted."""
+def an_unservable_request_is_refused_on_arrival():
+    """A request whose turn would come after its caller times out is refused on arrival.
+
+    The refusal states when capacity is predicted to become free.
+    """
 
     async def play():
         now_s = boot_time_s()
@@ -114,37 +117,41 @@
             told = re.search(r"room comes only in ([0-9.]+) s", error.message)
             predicted_s = float(told[1])
             assert predicted_s > 3.6, error.message
-            # The forecast is told with one digit.
+            # The message rounds the forecast to one decimal.
             assert predicted_s - 0.05 <= error.retry_after_s <= 2 * predicted_s + 0.1
         else:
-            raise AssertionError("held though its turn came too late")
+            raise AssertionError("queued although its turn would come after the caller timeout")
 
     asyncio.run(play())
 
 
-def whoever_can_be_served_late_waits():
-    """No caller is sent away who would be served before it gives up, in time or late."""
+def a_late_but_servable_request_is_queued():
+    """A request that can be placed before its caller times out is queued, even if it is late."""
 
     async def play():
         now_s = boot_time_s()
         ledger, taken = filled("d", streams=4)
-        placement = QueuedPlacement(registry("d"), ledger, none_elsewhere)
-        # Four streams of three seconds: room in 0.75 s, after the target of 0.9 s is out of reach.
+        placement = QueuedPlacement(registry("d"), ledger, no_remote_queue)
+        # Four streams of three seconds: capacity is free in 0.75 s, too late for the target of
+        # 0.9 s.
         fresh = asyncio.create_task(placement.place(generation(now_s), Progress()))
         back = asyncio.create_task(placement.place(generation(now_s, 100, 10.0), Progress()))
         await asyncio.sleep(0.3)
         assert not fresh.done() and not back.done()
         ledger.close_stream(taken[0])
         assert (await back).decode.name == "d"
-        assert not fresh.done(), "whoever has the least time left goes first"
+        assert not fresh.done(), "the request with the earliest deadline must be placed first"
         ledger.close_stream(taken[1])
         assert (await fresh).decode.name == "d"
 
     asyncio.run(play())
 
 
-def whoever_becomes_hopeless_is_refused_then():
-    """It could have been in time; newcomers took its turns, and none will come before its end."""
+def a_queued_request_is_refused_once_unservable():
+    """A queued request is refused as soon as it can no longer be placed before its timeout.
+
+    It could be served on arrival, but requests at other routers have gone ahead of it since.
+    """
 
     async def play():
         now_s = boot_time_s()
@@ -159,23 +166,23 @@
             async with asyncio.timeout(2.0):
                 await waiting
         except NoDecodeCapacity as error:
-            assert boot_time_s() - now_s < 1.5, "refused when its target is out of reach"
+            assert boot_time_s() - now_s < 1.5, "not refused as soon as its target could not be met"
             assert error.retry_after_s > 3.0
         else:
-            raise AssertionError("room was given that was not there")
+            raise AssertionError("placed although no capacity was free")
 
     asyncio.run(play())
 
 
-def a_full_service_holds_up_no_other():
-    """Each service has a queue of its own: one without room stops only its own callers."""
+def a_full_service_delays_no_other_service():
+    """Each service has its own queue: one without capacity delays only its own requests."""
 
     async def play():
         now_s = boot_time_s()
         ledger, _ = filled("d", streams=4)
         backends = registry("d")
         backends.update([BackendEntry("e", "other", "127.0.0.1:1", role="decode")], ())
-        placement = QueuedPlacement(backends, ledger, none_elsewhere)
+        placement = QueuedPlacement(backends, ledger, no_remote_queue)
         waiting = asyncio.create_task(placement.place(generation(now_s), Progress()))
         await asyncio.sleep(0)
         other = generation(now_s + 1.0)
@@ -188,8 +195,8 @@
     asyncio.run(play())
 
 
-def room_is_forecast_from_how_long_streams_lasted():
-    """Twice the streams free room twice as often; what ended at once teaches nothing."""
+def capacity_is_forecast_from_stream_durations():
+    """Capacity frees in proportion to the active streams; streams that end at once are ignored."""
     turnover = StreamDuration()
     for _ in range(200):
         turnover.note(4.0)
@@ -198,22 +205,24 @@
     assert 3.9 < forecast.wait_s(QueueAhead(1, 0)) < 4.1
     assert 0.39 < forecast.wait_s(QueueAhead(20, 1)) < 0.41
     assert forecast.wait_s(QueueAhead(0, 0)) == forecast.wait_s(QueueAhead(1, 0))
-    # Newcomers who take four of the five places a second leave one to the late.
+    # New arrivals that take four of five freed slots per second leave one to late requests.
     assert 1.9 < forecast.wait_s(QueueAhead(20, 0, 1, 4.0)) < 2.1
 
 
 @searched(factor=st.floats(0.3, 3.0), waits=st.lists(st.floats(0.1, 3.0), min_size=60))
-def the_forecast_learns_how_wrong_it_was(factor, waits):
-    """Where waits are always ``factor`` times as long as predicted, the forecast follows."""
+def the_forecast_learns_its_error_factor(factor, waits):
+    """The correction converges if waits are always ``factor`` times as long as predicted."""
     forecast = CapacityForecast(StreamDuration())
-    for bare_s in waits:
-        forecast.note(bare_s * forecast.correction_factor(), bare_s * factor)
+    for uncorrected_s in waits:
+        forecast.note(uncorrected_s * forecast.correction_factor(), uncorrected_s * factor)
     assert abs(math.log(forecast.correction_factor() / factor)) < 0.05
-    assert forecast.correction_factor(is_late=True) == 1.0, "the late are forecast apart"
+    assert forecast.correction_factor(is_late=True) == 1.0, (
+        "late requests must have a separate correction"
+    )
 
 
-def an_engine_whose_streams_are_all_silent_is_avoided():
-    """One event of any stream shows that the engine lives; all silent, it does not."""
+def an_engine_with_only_silent_streams_is_avoided():
+    """An event on any stream shows that the engine is alive; if all are silent, it is avoided."""
 
     async def play():
         clock = Clock()
@@ -223,7 +232,7 @@
         begun, other, waiting = (watch.open(engine, may_move=True) for _ in range(3))
         for stream in (begun, other):
             watch.heard(stream)
-        awaited = [asyncio.create_task(wait_on(stream)) for stream in (begun, waiting)]
+        awaited = [asyncio.create_task(is_wait_aborted(stream)) for stream in (begun, waiting)]
         await asyncio.sleep(0)
         for _ in range(20):
             clock.now_s += STEP_S
@@ -231,19 +240,24 @@
             watch.check()
         await asyncio.sleep(0)
         assert not any(task.done() for task in awaited) and not is_avoided(backends)
-        await let_pass(clock, watch, ENGINE_SILENCE_S)
+        await advance_clock(clock, watch, ENGINE_SILENCE_S)
         assert is_avoided(backends)
-        assert awaited[1].done() and not awaited[0].done(), "only what has not begun moves"
-        await let_pass(clock, watch, MOVE_SILENCE_S - ENGINE_SILENCE_S)
+        assert awaited[1].done() and not awaited[0].done(), (
+            "only streams that have not started may be moved"
+        )
+        await advance_clock(clock, watch, MOVE_SILENCE_S - ENGINE_SILENCE_S)
         assert awaited[0].done()
 
     asyncio.run(play())
 
 
-def an_engine_that_goes_on_is_spared_for_one_stream():
-    """A stream that stalls midway is its connection's fault if others there go on, else not."""
+def an_active_engine_is_not_avoided_for_one_stalled_stream():
+    """A stall after the first event is blamed on the connection if other streams are active.
 
-    async def play(has_begun, others_go_on):
+    In all other cases the engine is avoided.
+    """
+
+    async def play(has_begun, are_others_active):
         clock = Clock()
         watch = SilenceDetector(clock)
         backends = registry("d", "e", clock=clock)
@@ -254,7 +268,7 @@
             watch.heard(stalled)
         for _ in range(12):
             clock.now_s += STEP_S
-            if others_go_on:
+            if are_others_active:
                 watch.heard(other)
         try:
             await stalled.within(0.001, asyncio.Event().wait())
@@ -262,14 +276,14 @@
             return is_avoided(backends)
 
     for has_begun in (True, False):
-        for others_go_on in (True, False):
-            is_spared = has_begun and others_go_on
-            was_avoided = asyncio.run(play(has_begun, others_go_on))
-            assert was_avoided is not is_spared, (has_begun, others_go_on)
+        for are_others_active in (True, False):
+            is_engine_kept = has_begun and are_others_active
+            was_avoided = asyncio.run(play(has_begun, are_others_active))
+            assert was_avoided is not is_engine_kept, (has_begun, are_others_active)
 
 
-def a_process_that_stood_still_accuses_no_engine():
-    """After a freeze of the process itself, silence is counted anew."""
+def a_stall_of_the_process_is_no_engine_silence():
+    """After a stall of the process itself, silence is measured from the next check on."""
 
     async def play():
         clock = Clock()
@@ -283,8 +297,8 @@
     asyncio.run(play())
 
 
-async def wait_on(stream):
-    """Wait on a stream for long; return whether it was given up as silent."""
+async def is_wait_aborted(stream):
+    """Wait on a stream; return whether the wait was aborted because the stream is silent."""
     try:
         await stream.within(60.0, asyncio.Event().wait())
     except BackendUnresponsive:
@@ -292,8 +306,8 @@
     return False
 
 
-async def let_pass(clock, watch, seconds):
-    """Let time pass in the steps of the checks, and whoever was woken run."""
+async def advance_clock(clock, watch, seconds):
+    """Advance the clock in steps with a check after each, then let woken tasks run."""
     for _ in range(round(seconds / STEP_S) + 1):
         clock.now_s += STEP_S
         watch.check()
@@ -302,27 +316,27 @@
 
 
 def is_avoided(backends):
-    """Return whether new work goes to the other engine only."""
+    """Return whether engine ``d`` gets no new requests, so that only ``e`` is usable."""
     return [backend.name for backend in backends.usable("llm", "decode")] == ["e"]
 
 
-class HeldLookup(CacheLookup):
-    """A look-up whose engines answer when told."""
+class BlockedCacheLookup(CacheLookup):
+    """A cache lookup whose engines respond only after the event is set."""
 
     def __init__(self):
         super().__init__(registry("d"), None, None)
-        self.may_answer = asyncio.Event()
+        self.may_respond = asyncio.Event()
 
     async def _ask(self, engine):
-        await self.may_answer.wait()
+        await self.may_respond.wait()
         return {"ab": 100}
 
 
-def a_caller_who_leaves_spoils_no_other_look_up():
-    """One list serves several requests: the end of one must not end it for the others."""
+def a_cancelled_request_does_not_cancel_a_shared_lookup():
+    """Concurrent requests share a lookup: cancelling one must not cancel it for the others."""
 
     async def play():
-        lookup = HeldLookup()
+        lookup = BlockedCacheLookup()
         call = generation(0.0)
         terms = GenerationParameters("m", 100, 100, (PromptPart("ab", 100),))
         call.terms = RequestMetadata("r", 14.0, generation=terms)
@@ -331,26 +345,28 @@
         await asyncio.sleep(0)
         first.cancel()
         await asyncio.sleep(0)
-        lookup.may_answer.set()
+        lookup.may_respond.set()
         assert await second == {"d"}
 
     asyncio.run(play())
 
 
 STREAM_PROPERTIES = {
-    "a caller who leaves spoils no other look-up": a_caller_who_leaves_spoils_no_other_look_up,
-    "whoever cannot be served is refused at once": whoever_cannot_be_served_is_refused_at_once,
-    "whoever can be served late waits": whoever_can_be_served_late_waits,
-    "whoever becomes hopeless is refused then": whoever_becomes_hopeless_is_refused_then,
-    "a full service holds up no other": a_full_service_holds_up_no_other,
-    "the forecast learns how wrong it was": the_forecast_learns_how_wrong_it_was,
-    "room is forecast from how long streams lasted": room_is_forecast_from_how_long_streams_lasted,
-    "a stream that broke late waits for room": a_stream_that_broke_late_waits_for_room,
+    "a caller who leaves spoils no other look-up": (
+        a_cancelled_request_does_not_cancel_a_shared_lookup
+    ),
+    "whoever cannot be served is refused at once": an_unservable_request_is_refused_on_arrival,
+    "whoever can be served late waits": a_late_but_servable_request_is_queued,
+    "whoever becomes hopeless is refused then": a_queued_request_is_refused_once_unservable,
+    "a full service holds up no other": a_full_service_delays_no_other_service,
+    "the forecast learns how wrong it was": the_forecast_learns_its_error_factor,
+    "room is forecast from how long streams lasted": capacity_is_forecast_from_stream_durations,
+    "a stream that broke late waits for room": caller_timeout_counts_from_the_latest_event,
     "an engine whose streams are all silent is avoided": (
-        an_engine_whose_streams_are_all_silent_is_avoided
+        an_engine_with_only_silent_streams_is_avoided
     ),
     "an engine that goes on is spared for one stream": (
-        an_engine_that_goes_on_is_spared_for_one_stream
+        an_active_engine_is_not_avoided_for_one_stalled_stream
     ),
-    "a process that stood still accuses no engine": a_process_that_stood_still_accuses_no_engine,
+    "a process that stood still accuses no engine": a_stall_of_the_process_is_no_engine_silence,
 }
