--- a/features/steps/crashing_request_steps.py
+++ b/features/steps/crashing_request_steps.py
@@ -12,7 +12,7 @@
 
 from behave import given, then, when
 from router_steps import STREAM_HEADERS, caller, world
-from support.mortal_backends import MARK, MortalBackends
+from support.crashing_backends import CRASHING_BODY, CrashingBackends
 from support.router_world import request_bytes, table
 
 from yokedock.connection.source_position import SourcePosition
@@ -49,8 +49,8 @@
 
 
 @given("backends end when they run a certain request, and come back as new ones")
-def mortal_backends(context):
-    context.mortals = MortalBackends(context.world, context.routers)
+def crashing_backends(context):
+    context.mortals = CrashingBackends(context.world, context.routers)
 
 
 @when('a caller sends that request on "{name}" {count:d} times, at the routers in turn')
@@ -58,7 +58,7 @@
     context.answers = []
     for number in range(count):
         router = context.routers[number % len(context.routers)]
-        context.answers.append(send_once(context, router, name, MARK, f"c-{number}"))
+        context.answers.append(send_once(context, router, name, CRASHING_BODY, f"c-{number}"))
         time.sleep(PAUSE_S)
 
 
@@ -81,7 +81,7 @@
 
 @then("at most {most:d} more arrivals of it came after the third end")
 def few_more(context, most):
-    ends = [a.arrived_s for a in context.mortals.arrivals() if a.ended_backend]
+    ends = [a.arrived_s for a in context.mortals.arrivals() if a.crashed_backend]
     if len(ends) < 3:
         return
     later = [a for a in context.mortals.arrivals() if a.arrived_s > ends[2]]
@@ -101,7 +101,9 @@
     for number in range(count):
         sender = caller(context, context.routers[number % len(context.routers)])
         sender.send(
-            request_bytes(name, body=MARK, headers=STREAM_HEADERS, request_id=f"at-once-{number}")
+            request_bytes(
+                name, body=CRASHING_BODY, headers=STREAM_HEADERS, request_id=f"at-once-{number}"
+            )
         )
         senders.append(sender)
     for sender in senders:
@@ -112,7 +114,7 @@
 @when('a caller sends that request on "{name}" {count:d} times, at the second router')
 def send_at_second(context, name, count):
     for number in range(count):
-        send_once(context, context.routers[1], name, MARK, f"second-{number}")
+        send_once(context, context.routers[1], name, CRASHING_BODY, f"second-{number}")
         time.sleep(PAUSE_S)
 
 
@@ -144,7 +146,7 @@
 @when('a caller sends that request on "{name}" to the first router and does not wait')
 def send_and_go_on(context, name):
     context.waiting = caller(context, context.routers[0])
-    request = request_bytes(name, body=MARK, headers=STREAM_HEADERS, request_id="waits")
+    request = request_bytes(name, body=CRASHING_BODY, headers=STREAM_HEADERS, request_id="waits")
     context.waiting.send(request)
     context.world.wait_for(lambda: context.held.arrivals, "it has reached the engine")
 
@@ -158,7 +160,7 @@
 def taken_back(context, name):
     arrival = context.held.arrivals[0]
     context.world.wait_for(lambda: arrival.was_closed, "the connection has ended")
-    assert not arrival.ended_backend
+    assert not arrival.crashed_backend
 
 
 @when("a third router starts and hears the others")
@@ -175,7 +177,7 @@
 
 @when('a caller sends that request on "{name}" once, at the third router')
 def send_at_third(context, name):
-    context.answers = [send_once(context, context.third, name, MARK, "third")]
+    context.answers = [send_once(context, context.third, name, CRASHING_BODY, "third")]
 
 
 @then("no further backend has ended")
@@ -185,6 +187,6 @@
 
 @then("at most {most:d} more arrivals of it came 0.5 s or later after the third end")
 def few_much_later(context, most):
-    ends = [a.arrived_s for a in context.mortals.arrivals() if a.ended_backend]
+    ends = [a.arrived_s for a in context.mortals.arrivals() if a.crashed_backend]
     later = [a for a in context.mortals.arrivals() if a.arrived_s > ends[2] + 0.5]
     assert len(later) <= most, f"{len(later)} arrivals came 0.5 s or later after the third end"
--- a/features/steps/engine_lives_steps.py
+++ b/features/steps/engine_lives_steps.py
@@ -24,7 +24,7 @@
 
 def start_anew(context, backend):
     """Have the list say that a backend started anew; what was open stays open, and silent."""
-    backend.go_silent()
+    backend.stop_responding()
     time.sleep(OLD_ENOUGH_S)
     tell_start(context, backend, wall_clock_ms())
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -31,7 +31,7 @@
 
 @given('backend "{name}" takes {count:d} connections and resets any more')
 def takes_connections(context, name, count):
-    context.world.backends[name].most_connections = count
+    context.world.backends[name].max_connections = count
 
 
 @when("a router joins them")
--- a/features/steps/notice_steps.py
+++ b/features/steps/notice_steps.py
@@ -74,7 +74,7 @@
 @given('engine "{name}" reads the first prompt at once and the others in {delay_s:g} s')
 def reads_one_soon(context, name, delay_s):
     context.reader = backend_of(context, name)
-    context.reader.answer_delay_s = lambda arrival: (
+    context.reader.processing_time_s = lambda arrival: (
         0.0 if arrival is context.reader.arrivals[0] else delay_s
     )
 
@@ -82,7 +82,7 @@
 @when('backend "{name}" works for {work_s:g} s on each request from now on')
 @given('backend "{name}" works for {work_s:g} s on each request')
 def works_for(context, name, work_s):
-    backend_of(context, name).answer_delay_s = lambda arrival: work_s
+    backend_of(context, name).processing_time_s = lambda arrival: work_s
 
 
 @when('a client sends POST on "{route}" and takes the time')
--- a/features/steps/router_cache_steps.py
+++ b/features/steps/router_cache_steps.py
@@ -16,13 +16,13 @@
 @given("the engine that breaks accepts nothing more")
 def accepts_nothing(context):
     for backend in decode_engines(context):
-        backend.dies_when_broken = True
+        backend.crashes_after_break = True
 
 
 @given("the engine that breaks forgets what it kept")
 def forgets(context):
     for backend in decode_engines(context):
-        backend.forgets_when_broken = True
+        backend.clears_cache_after_break = True
 
 
 @when('a client goes on with a stream on "{name}" behind event {last:d}')
--- a/features/steps/router_callers_steps.py
+++ b/features/steps/router_callers_steps.py
@@ -54,7 +54,7 @@
 @step('"{name}" has read 1 head')
 def has_read_head(context, name):
     backend = context.world.backends[name]
-    context.world.wait_for(lambda: backend.heads_read == 1, "a head")
+    context.world.wait_for(lambda: backend.headers_read == 1, "a head")
 
 
 @step('"{name}" accepts no connections')
@@ -135,10 +135,10 @@
 def cannot_write(context):
     """Wait until nothing of the stream has moved for a while."""
     backend = context.world.backends["d"]
-    context.world.wait_for(lambda: backend.pieces_written > 0, "the stream has begun")
+    context.world.wait_for(lambda: backend.events_written > 0, "the stream has begun")
     before = -1
-    while before != backend.pieces_written:
-        before = backend.pieces_written
+    while before != backend.events_written:
+        before = backend.events_written
         time.sleep(0.2)
     assert before < LONG_STREAM_PIECES, "the whole stream fits into the buffers"
 
@@ -171,7 +171,7 @@
 
 @step("the client ends its sending")
 def ends_sending(context):
-    context.world.loop.call_soon_threadsafe(context.caller.end_sending)
+    context.world.loop.call_soon_threadsafe(context.caller.half_close)
 
 
 @step("the other clients close")
--- a/features/steps/router_patience_steps.py
+++ b/features/steps/router_patience_steps.py
@@ -74,7 +74,7 @@
 def both_answered(context, work_s, route):
     backends = context.world.backends.values()
     for backend in backends:
-        backend.answer_delay_s = lambda arrival: work_s
+        backend.processing_time_s = lambda arrival: work_s
     for number in range(MAX_ANSWERS):
         one = caller(context)
         one.send(request_bytes(route, body=b"abc", request_id=f"before-{number}"))
@@ -88,7 +88,7 @@
 def send_late(context, route, work_s):
     """Send the request with the id that ``has_late_id`` finds, to backends that work so long."""
     for backend in context.world.backends.values():
-        backend.answer_delay_s = lambda arrival: work_s
+        backend.processing_time_s = lambda arrival: work_s
     context.caller = caller(context)
     context.caller.send(request_bytes(route, body=b"abc", request_id="late"))
 
--- a/features/steps/router_retries_steps.py
+++ b/features/steps/router_retries_steps.py
@@ -72,7 +72,7 @@
 @then("all clients have an end")
 def all_end(context):
     for sender in context.callers:
-        sender.read_all_of_answer()
+        sender.read_to_end_of_response()
 
 
 @then(
--- a/features/steps/silent_steps.py
+++ b/features/steps/silent_steps.py
@@ -68,15 +68,15 @@
     return [("X-Model", "m"), ("X-Tokens", "50,60"), ("X-Prompt-Parts", f"{part}:50")]
 
 
-def send_streams(context, requests, event_gap_s):
+def send_streams(context, requests, event_interval_s):
     for backend in context.world.backends.values():
-        backend.event_gap_s = event_gap_s
+        backend.event_interval_s = event_interval_s
     callers = [caller(context) for _ in requests]
     for one, data in zip(callers, requests, strict=True):
         one.send(data)
     assert {one.read_answer()[0] for one in callers} == {200}
     for backend in context.world.backends.values():
-        backend.event_gap_s = 0.0
+        backend.event_interval_s = 0.0
 
 
 def check_used(backends, count):
@@ -89,7 +89,7 @@
 def gone_silent(context, role):
     kind = "" if role == "backend" else role.split()[0]
     for backend in backends_of(context, kind):
-        context.world.loop.call_soon_threadsafe(backend.go_silent)
+        context.world.loop.call_soon_threadsafe(backend.stop_responding)
 
 
 @given('backend "{name}" accepts connections and reads nothing')
@@ -142,7 +142,7 @@
     def fall_silent(number):
         if number == last:
             for engine in engines:
-                engine.go_silent()
+                engine.stop_responding()
                 engine.on_event = lambda number: None
 
     for engine in engines:
@@ -154,7 +154,7 @@
 def one_falls_silent(context, name, last):
     engines = decode_engines(context)
     for engine in engines:
-        engine.event_gap_s, engine.pieces = EVENT_GAP_S, LONG_PIECES
+        engine.event_interval_s, engine.pieces = EVENT_GAP_S, LONG_PIECES
     shared = [f"fall silent after event {last}"]
     context.callers = [caller(context) for _ in range(4)]
     for number, one in enumerate(context.callers):
--- a/features/steps/suspension_steps.py
+++ b/features/steps/suspension_steps.py
@@ -58,7 +58,7 @@
 def suspend_and_silence(context, suspended_for_s):
     sleeping_time(context)
     for backend in context.world.backends.values():
-        backend.go_silent()
+        backend.stop_responding()
     suspend(context, suspended_for_s)
     context.world.wait_for(lambda: not context.router._pool.size(), "what rested is dropped")
 
--- a/features/support/mortal_backends.py
+++ b/features/support/crashing_backends.py
@@ -6,11 +6,11 @@
 from yokedock.connection.source_position import SourcePosition
 from yokedock.connection.state_source import BackendEntry, StateChanges
 
-MARK = b"ends whoever runs it"
+CRASHING_BODY = b"ends whoever runs it"
 BACK_AFTER_S = 0.1
 
 
-class MortalBackends:
+class CrashingBackends:
     """Replaces each crashed backend by one of the same kind, and announces it to the routers."""
 
     def __init__(self, world, routers):
@@ -26,12 +26,14 @@
 
     def arrivals(self):
         """Return the arrivals of the marked request, including its prefills, by time."""
-        found = [a for b in self._world.backends.values() for a in b.arrivals if MARK in a.body]
+        found = [
+            a for b in self._world.backends.values() for a in b.arrivals if CRASHING_BODY in a.body
+        ]
         return sorted(found, key=lambda arrival: arrival.arrived_s)
 
     def ended(self):
         """Return the number of backends that have crashed."""
-        return sum(arrival.ended_backend for arrival in self.arrivals())
+        return sum(arrival.crashed_backend for arrival in self.arrivals())
 
     def story(self):
         """Return a line per arrival: time, request id, expected backend, and whether it crashed."""
@@ -39,13 +41,13 @@
         first_s = arrivals[0].arrived_s
         return [
             f"{a.arrived_s - first_s:.3f} {a.header('X-Request-Id')}"
-            f" {a.header('X-Expected-Backend')}{' ended' if a.ended_backend else ''}"
+            f" {a.header('X-Expected-Backend')}{' ended' if a.crashed_backend else ''}"
             for a in arrivals
         ]
 
     def _watch(self, backend):
-        backend.dies_of = MARK
-        backend.on_death = lambda: self._handle_crash(backend)
+        backend.crash_pattern = CRASHING_BODY
+        backend.on_crash = lambda: self._handle_crash(backend)
 
     def _handle_crash(self, backend):
         loop = asyncio.get_running_loop()
--- a/features/support/entry_properties.py
+++ b/features/support/entry_properties.py
@@ -8,7 +8,7 @@
 from yokedock.platform.store import PlatformStore, StoredItem, items_to_changes
 from yokedock.request.backend_registry import BackendRegistry
 
-GOOD = {
+VALID_ENTRY = {
     "service": "llm",
     "address": "10.0.0.1:8080",
     "zone": "hall-one",
@@ -67,9 +67,10 @@
 
 def invalid_documents():
     """Return documents that are no valid backend entry."""
-    changed = [GOOD | {field: value} for field, value in INVALID_FIELDS]
+    changed = [VALID_ENTRY | {field: value} for field, value in INVALID_FIELDS]
     missing = [
-        {k: v for k, v in GOOD.items() if k != field} for field in GOOD.keys() - OPTIONAL_FIELDS
+        {k: v for k, v in VALID_ENTRY.items() if k != field}
+        for field in VALID_ENTRY.keys() - OPTIONAL_FIELDS
     ]
     return [*changed, *missing, *INVALID_BYTES]
 
@@ -79,13 +80,15 @@
     for odd in invalid_documents():
         clock = Clock()
         registry = BackendRegistry("hall-one", clock)
-        first = items_to_changes((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
+        first = items_to_changes(
+            (item("i-1", VALID_ENTRY), item("i-2", VALID_ENTRY)), SourcePosition(revision=1)
+        )
         registry.replace_all({entry.instance: entry for entry in first.changed})
         changes = items_to_changes((item("i-1", odd),), SourcePosition(revision=2))
         assert changes.undecoded == ("i-1",), odd
         registry.update(changes.changed, changes.gone)
         assert [b.entry.instance for b in registry.usable("llm")] == ["i-2"], odd
-        again = items_to_changes((item("i-1", GOOD),), SourcePosition(revision=3))
+        again = items_to_changes((item("i-1", VALID_ENTRY),), SourcePosition(revision=3))
         registry.update(again.changed, again.gone)
         assert sorted(b.entry.instance for b in registry.usable("llm")) == ["i-1", "i-2"], odd
 
@@ -93,17 +96,21 @@
 def an_odd_entry_of_a_whole_list_names_no_backend():
     """A full list with an invalid entry removes the backend of that identifier and no other."""
     registry = BackendRegistry("hall-one", Clock())
-    first = items_to_changes((item("i-1", GOOD), item("i-2", GOOD)), SourcePosition(revision=1))
+    first = items_to_changes(
+        (item("i-1", VALID_ENTRY), item("i-2", VALID_ENTRY)), SourcePosition(revision=1)
+    )
     registry.replace_all({entry.instance: entry for entry in first.changed})
-    listed = items_to_changes((item("i-1", b"?"), item("i-2", GOOD)), SourcePosition(revision=2))
+    listed = items_to_changes(
+        (item("i-1", b"?"), item("i-2", VALID_ENTRY)), SourcePosition(revision=2)
+    )
     registry.replace_all({entry.instance: entry for entry in listed.changed})
     assert [b.entry.instance for b in registry.usable("llm")] == ["i-2"]
 
 
 def a_good_entry_is_read_whole():
     """An entry is read with unknown fields, and without those that plain services do not have."""
-    plain = {k: v for k, v in GOOD.items() if k not in OPTIONAL_FIELDS}
-    for document, born_ms, role in ((GOOD, GOOD["born"], "decode"), (plain, 0, "")):
+    plain = {k: v for k, v in VALID_ENTRY.items() if k not in OPTIONAL_FIELDS}
+    for document, born_ms, role in ((VALID_ENTRY, VALID_ENTRY["born"], "decode"), (plain, 0, "")):
         changes = items_to_changes(
             (item("i-1", document | {"unknown": {"a": 1}}),), SourcePosition(revision=1)
         )
--- a/features/support/fleet_properties.py
+++ b/features/support/fleet_properties.py
@@ -12,7 +12,7 @@
 from yokedock.request.waiter import Turn
 
 MIN_SEND_INTERVAL_S = 0.01
-WAY_S = 0.004
+DATAGRAM_DELAY_S = 0.004
 """Minimum interval between a router's datagrams, and the delivery time of a datagram."""
 
 
@@ -57,7 +57,7 @@
         self._spoke_s = boot_time_s()
         told = (self.name, self.ledger.shares(), self.placement.queues())
         for other in self.others:
-            asyncio.get_running_loop().call_later(WAY_S, other.hear, *told)
+            asyncio.get_running_loop().call_later(DATAGRAM_DELAY_S, other.hear, *told)
 
     def hear(self, name, shares, queues):
         """Apply the state received from another router."""
--- a/features/support/fuzz_properties.py
+++ b/features/support/fuzz_properties.py
@@ -13,7 +13,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from support.entry_properties import GOOD
+from support.entry_properties import VALID_ENTRY
 from yokedock.connection.header_dialect import HeaderDialect
 from yokedock.connection.http_heads import RequestHead
 from yokedock.connection.router_gossip import RouterGossip
@@ -70,7 +70,7 @@
 
 def fields_are_read_or_refused(fields):
     """So it is with fields of any kind in the place of the right ones."""
-    entries_are_read_or_refused(json.dumps(GOOD | fields).encode())
+    entries_are_read_or_refused(json.dumps(VALID_ENTRY | fields).encode())
 
 
 def configurations_are_read_or_refused(document):
@@ -116,11 +116,11 @@
 CASES = {
     "entries are read or refused": (
         entries_are_read_or_refused,
-        odd_bytes(json.dumps(GOOD).encode()),
+        odd_bytes(json.dumps(VALID_ENTRY).encode()),
     ),
     "fields are read or refused": (
         fields_are_read_or_refused,
-        st.dictionaries(st.sampled_from(sorted(GOOD)), JSON, min_size=1, max_size=3),
+        st.dictionaries(st.sampled_from(sorted(VALID_ENTRY)), JSON, min_size=1, max_size=3),
     ),
     "configurations are read or refused": (
         configurations_are_read_or_refused,
--- a/features/support/limit_fleet.py
+++ b/features/support/limit_fleet.py
@@ -11,7 +11,7 @@
 
 from yokedock.request.shared_rate import SharedRate
 
-WAY_S = (0.002, 0.006)
+DATAGRAM_DELAY_S = (0.002, 0.006)
 MIN_SEND_INTERVAL_S = 0.01
 POLL_INTERVAL_S = 0.02
 RESPONSE_DELAY_S = (0.01, 0.09)
@@ -101,7 +101,7 @@
         told = self.rate.share(fleet.now_s, len(self.waits), since_s)
         for other in fleet.routers:
             if other is not self and fleet.chance.random() >= fleet.loss:
-                fleet.at(fleet.chance.uniform(*WAY_S), other.hear, self.name, told)
+                fleet.at(fleet.chance.uniform(*DATAGRAM_DELAY_S), other.hear, self.name, told)
 
     def freeze(self, span_s):
         """Freeze for a while. Received datagrams are read only after another request was sent."""
--- a/features/support/notice_properties.py
+++ b/features/support/notice_properties.py
@@ -17,7 +17,7 @@
 from yokedock.request.backend_registry import BackendRegistry
 
 SERVICE = "plain"
-UNDER_WAY_S = 0.5
+IN_FLIGHT_S = 0.5
 """The users' bound: requests in flight when a backend asks for back-off may arrive this late."""
 DRAIN_S = 2.0
 """The users' bound: a backend may receive requests this long after its leaving notice arrived."""
@@ -25,7 +25,7 @@
 SPAN_S = 30.0
 RESPONSE_DELAY_S = 0.006
 """Time from sending a request until a refusal is read, as on the users' links."""
-MOST_IN_REST = 2
+MAX_IN_BACKOFF = 2
 """The users' bound on the requests that a backend receives from one router during back-off."""
 
 
@@ -146,8 +146,8 @@
             )
         for name, rests in self.rests.items():
             for from_s, until_s in rests:
-                within = [a for a in self.arrivals[name] if from_s + UNDER_WAY_S < a < until_s]
-                assert len(within) <= MOST_IN_REST, (
+                within = [a for a in self.arrivals[name] if from_s + IN_FLIGHT_S < a < until_s]
+                assert len(within) <= MAX_IN_BACKOFF, (
                     f"{name} backed off from {from_s} to {until_s} and received {within}"
                 )
 
--- a/features/support/poison_properties.py
+++ b/features/support/poison_properties.py
@@ -12,9 +12,9 @@
 from support.stream_properties import Clock
 from yokedock.request.poison_requests import (
     CRASH_GOSSIP_S,
-    FORGOTTEN_S,
     MAX_CRASHES_KEPT,
-    MAX_KEPT,
+    MAX_SUSPECTS,
+    QUARANTINE_S,
     SETTLE_S,
     PoisonRequests,
     incarnation_number,
@@ -286,13 +286,13 @@
     routers = [PoisonRequests(clock=clock) for _ in range(3)]
     ended(routers[0], 7, 1, 2, 3)
     ended_s = clock.now_s
-    for _ in range(round(FORGOTTEN_S * 2)):
+    for _ in range(round(QUARANTINE_S * 2)):
         clock.now_s += 0.7
         for one, other in itertools.permutations(routers, 2):
             other.heard(one.told() + one.report_for_new_router())
         for router in routers:
             router.drop_old()
-        if clock.now_s - ended_s < FORGOTTEN_S - CRASH_GOSSIP_S:
+        if clock.now_s - ended_s < QUARANTINE_S - CRASH_GOSSIP_S:
             assert all(router.quarantined_for_s(7) for router in routers)
     assert not any(router.size() for router in routers)
 
@@ -301,11 +301,11 @@
     """The number of suspects is bounded, and so is the number of crashes kept of each."""
     clock = Clock()
     router = PoisonRequests(clock=clock)
-    for number in range(3 * MAX_KEPT):
+    for number in range(3 * MAX_SUSPECTS):
         clock.now_s += 0.001
         router.record_crash(number, number % 50, 1.0)
     router.drop_old()
-    assert router.size() == MAX_KEPT
+    assert router.size() == MAX_SUSPECTS
     ended(router, -1, *range(10_000, 10_000 + 3 * MAX_CRASHES_KEPT))
     told = next(request for request in router.told() if request.digest == -1)
     assert len(told.lives) == MAX_CRASHES_KEPT
--- a/features/support/router_world.py
+++ b/features/support/router_world.py
@@ -282,7 +282,7 @@
         """Return all bytes until the end of the connection."""
         return self._world.run(self._reader.read())
 
-    def read_all_of_answer(self):
+    def read_to_end_of_response(self):
         """Read until the end of a chunked response or of the connection."""
         self._world.run(self._read_to_last_chunk())
 
@@ -306,7 +306,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self._writer.transport.abort()
 
-    def end_sending(self):
+    def half_close(self):
         """Half-close: shut down the sending side only. Must be called in the event loop."""
         self._writer.write_eof()
 
--- a/features/support/stand_in_backend.py
+++ b/features/support/stand_in_backend.py
@@ -30,7 +30,7 @@
     was_closed: bool = False
     has_ended: bool = False
     """Whether its processing has ended, with or without success."""
-    ended_backend: bool = False
+    crashed_backend: bool = False
     """Whether the backend crashed when it started to run the request."""
     was_unanswered: bool = False
     """Whether it was received on an unresponsive connection, so that nothing was sent back."""
@@ -53,33 +53,33 @@
         self.body_gate = asyncio.Event()
         self.body_gate.set()
         """While it is clear, request headers are read but bodies are left unread in the socket."""
-        self.heads_read = 0
+        self.headers_read = 0
         self.pieces = DEFAULT_EVENT_COUNT
         self.padding = ""
         """Text appended to the data of each event."""
-        self.pieces_written = 0
-        self.event_gap_s = 0.0
+        self.events_written = 0
+        self.event_interval_s = 0.0
         self.on_event = lambda number: None
         """Called with the number of each event after it was sent."""
         self.is_leaving = False
         """Whether all its responses announce that it is shutting down."""
         self.limit = None
         """Requests per second that all its responses announce as the limit, as text, or None."""
-        self.answer_delay_s = lambda arrival: 0.0
+        self.processing_time_s = lambda arrival: 0.0
         """Returns the processing time of a request before its response starts."""
-        self.dies_when_broken = False
-        self.dies_of = None
+        self.crashes_after_break = False
+        self.crash_pattern = None
         """The backend crashes when it starts to run a request whose body contains these bytes."""
-        self.on_death = lambda: None
+        self.on_crash = lambda: None
         """Called after such a request has crashed it."""
-        self.forgets_when_broken = False
+        self.clears_cache_after_break = False
         self.cache = {}
         """Cached tokens by prompt part; if None, requests for the contents get no response."""
         self.connections = 0
-        self.most_connections = math.inf
+        self.max_connections = math.inf
         """Maximum number of concurrent connections; further ones are reset."""
         self.resets = 0
-        """Number of connections reset because of ``most_connections``."""
+        """Number of connections reset because of ``max_connections``."""
         self._late_answer = b""
         self._port = 0
         self._port_holder = None
@@ -114,7 +114,7 @@
         for writer in list(self._writers):
             writer.transport.abort()
 
-    def go_silent(self):
+    def stop_responding(self):
         """Stop responding on all open connections; new ones are served normally."""
         self._silent |= self._writers
 
@@ -132,7 +132,7 @@
 
     async def _serve(self, reader, writer):
         self.connections += 1
-        if len(self._writers) >= self.most_connections:
+        if len(self._writers) >= self.max_connections:
             self.resets += 1
             writer.transport.abort()
             return
@@ -160,7 +160,7 @@
         headers = [tuple(line.split(": ", 1)) for line in lines[1:] if line]
         arrival = Arrival(method, target, headers, b"")
         length = int(arrival.header("Content-Length") or 0)
-        self.heads_read += 1
+        self.headers_read += 1
         await self.body_gate.wait()
         arrival.body = await reader.readexactly(length)
         if target == CACHE_PATH and writer in self._silent:
@@ -222,9 +222,9 @@
                 writer, arrival, 500, b"broken", [("X-Signature", self.name)]
             )
         await self.gate.wait()
-        await asyncio.sleep(self.answer_delay_s(arrival))
+        await asyncio.sleep(self.processing_time_s(arrival))
         is_run = arrival.header("X-Stage") is None
-        if is_run and self.dies_of is not None and self.dies_of in arrival.body:
+        if is_run and self.crash_pattern is not None and self.crash_pattern in arrival.body:
             await self._crash_during(arrival, writer)
             return False
         if self.role:
@@ -238,11 +238,11 @@
 
     async def _crash_during(self, arrival, writer):
         """Send the start of a response, then crash, which aborts all requests on this backend."""
-        arrival.ended_backend = True
+        arrival.crashed_backend = True
         writer.write(self._head(arrival, 200, [("Transfer-Encoding", "chunked")]))
         await writer.drain()
         await self.stop()
-        self.on_death()
+        self.on_crash()
 
     def _head(self, arrival, status, extra, signed=True, request_id=None):
         named = request_id or arrival.header("X-Request-Id")
@@ -292,9 +292,9 @@
             if fault == f"break within event {number}":
                 writer.write(b"%x\r\n%s" % (len(event), event[:9]))
                 await writer.drain()
-                if self.dies_when_broken:
+                if self.crashes_after_break:
                     self._server.close()
-                if self.forgets_when_broken:
+                if self.clears_cache_after_break:
                     self.cache.clear()
                 writer.transport.abort()
                 return False
@@ -306,14 +306,14 @@
                 await asyncio.sleep(3600)
             writer.write(b"%x\r\n%s\r\n" % (len(event), event))
             await writer.drain()
-            self.pieces_written += 1
+            self.events_written += 1
             await asyncio.sleep(0)
             if fault == f"wait after event {number}":
                 await asyncio.sleep(3600)
             if fault == f"fall silent after event {number}":
                 self._silent.add(writer)
             self.on_event(number)
-            if self.event_gap_s:
-                await asyncio.sleep(self.event_gap_s)
+            if self.event_interval_s:
+                await asyncio.sleep(self.event_interval_s)
         writer.write(b"0\r\n\r\n")
         return True
--- a/features/support/watch_properties.py
+++ b/features/support/watch_properties.py
@@ -31,7 +31,7 @@
 from yokedock_emulator.simulation.simulation import run_simulated
 
 ROUTERS = 68
-WAY_S = 0.004
+DATAGRAM_DELAY_S = 0.004
 INTERVAL_S = 0.3
 MIN_SEND_INTERVAL_S = 0.01
 STATE_FETCH_DELAY_S = 0.3
@@ -144,7 +144,7 @@
             return
         told = (self.follower.source_age_ms(), self.follower.news(), self.follower.position)
         for other in self.others:
-            asyncio.get_running_loop().call_later(WAY_S, other.hear, self, *told)
+            asyncio.get_running_loop().call_later(DATAGRAM_DELAY_S, other.hear, self, *told)
 
     def hear(self, sender, age_ms, news, position):
         """Apply another router's report; fetch that router's state if it is newer."""
--- a/src/yokedock/request/poison_requests.py
+++ b/src/yokedock/request/poison_requests.py
@@ -39,7 +39,7 @@
 SETTLE_S = 0.1
 """Minimum age of two crashes before they count: routers report within 10 ms plus the datagram's
 transit time which other requests were at a backend, and repeat each report in case one is lost."""
-FORGOTTEN_S = 600.0
+QUARANTINE_S = 600.0
 """Retention time after the last crash. A request that was blamed wrongly is served again after it,
 and one that is retried all day crashes two backends per such period."""
 CRASH_GOSSIP_S = 1.0
@@ -48,7 +48,7 @@
 """Requests in one datagram, those with the most crashes first: 25 bytes each."""
 MAX_CRASHES_KEPT = 8
 """Crashes kept of one request."""
-MAX_KEPT = 2_048
+MAX_SUSPECTS = 2_048
 """Requests kept, 0.6 MB; those with the oldest last crash are dropped first."""
 
 
@@ -151,7 +151,7 @@
         suspect = self._suspects.get(digest)
         if suspect is None or not self._is_poison(suspect):
             return 0.0
-        remaining_s = suspect.last_s() + FORGOTTEN_S - self._clock()
+        remaining_s = suspect.last_s() + QUARANTINE_S - self._clock()
         if remaining_s > 0.0 and digest not in self._logged:
             self._logged.add(digest)
             _log.warning(
@@ -206,7 +206,7 @@
         # Suspects about to expire are not reported: otherwise two routers would renew each other's
         # records for ever.
         now_s = self._clock()
-        fresh = [s for s in suspects if s.last_s() > now_s - FORGOTTEN_S + CRASH_GOSSIP_S]
+        fresh = [s for s in suspects if s.last_s() > now_s - QUARANTINE_S + CRASH_GOSSIP_S]
         fresh.sort(key=lambda s: (len(s.ends), s.last_s()), reverse=True)
         return tuple(
             SuspectRequest(s.digest, s.lives(False), s.lives(True), round(now_s - s.last_s(), 3))
@@ -239,9 +239,9 @@
 
     def drop_old(self) -> None:
         """Drop requests whose last crash is long ago, and the oldest beyond the maximum number."""
-        oldest_s = self._clock() - FORGOTTEN_S
+        oldest_s = self._clock() - QUARANTINE_S
         by_age = sorted(self._suspects.values(), key=Suspect.last_s)
-        surplus = max(0, len(by_age) - MAX_KEPT)
+        surplus = max(0, len(by_age) - MAX_SUSPECTS)
         for position, suspect in enumerate(by_age):
             if position < surplus or suspect.last_s() < oldest_s:
                 self._drop(suspect)
--- a/src/yokedock/request/quarantine.py
+++ b/src/yokedock/request/quarantine.py
@@ -11,7 +11,7 @@
 from collections.abc import AsyncIterator
 
 from yokedock.errors import RequestQuarantined
-from yokedock.request.poison_requests import FORGOTTEN_S, SETTLE_S, PoisonRequests
+from yokedock.request.poison_requests import QUARANTINE_S, SETTLE_S, PoisonRequests
 from yokedock.request.routed_call import RoutedCall
 from yokedock.router_errors import BackendResponseLost
 
@@ -50,7 +50,7 @@
                 message = "backends crashed during this request; check whether it was executed"
                 raise BackendResponseLost(message) from None
             message = "this request crashes backends; change it, or retry it later"
-            raise RequestQuarantined(message, FORGOTTEN_S) from None
+            raise RequestQuarantined(message, QUARANTINE_S) from None
         finally:
             del self._limits[call]
 
--- a/src/yokedock_emulator/router_soak/soak_notices.py
+++ b/src/yokedock_emulator/router_soak/soak_notices.py
@@ -12,9 +12,9 @@
 DRAIN_S = 2.0
 """A request that comes so much later than an answer which said that its backend leaves may not
 reach that backend through the same router (the users' rule)."""
-UNDER_WAY_S = 0.5
+IN_FLIGHT_S = 0.5
 """What was under way as a backend asked for rest may reach it for so long (the users' rule)."""
-MOST_IN_REST = 2
+MAX_IN_BACKOFF = 2
 """Requests that a router may send into a rest (the users' rule)."""
 Visits = dict[tuple[int, tuple[int, int]], list[Arrival]]
 """Arrivals in order of time, by the life of the backend and that of the router."""
@@ -47,12 +47,12 @@
                 each
                 for each in arrivals
                 if asked.at_s < each.at_s < until_s
-                and life.excluding_processor_wait_s(asked.at_s, each.at_s) > UNDER_WAY_S
+                and life.excluding_processor_wait_s(asked.at_s, each.at_s) > IN_FLIGHT_S
             ]
             is_held = is_bound(history, router, asked.at_s, until_s)
-            if len(within) > MOST_IN_REST and is_held:
+            if len(within) > MAX_IN_BACKOFF and is_held:
                 text = f"{asked.instance} wanted {asked.rest_s:.2f} s of rest and got {len(within)}"
-                found.append((text, within[MOST_IN_REST].request_id))
+                found.append((text, within[MAX_IN_BACKOFF].request_id))
     return found
 
 
