--- a/features/steps/router_narrow_steps.py
+++ b/features/steps/router_narrow_steps.py
@@ -143,8 +143,8 @@
 
 @when("the store gets version {version:d}, which the second router may not take over")
 def publish_unshared(context, version):
-    context.taking = context.second._exchange.heard
-    context.second._exchange.heard = lambda state: None
+    context.taking = context.second._exchange.on_router_state
+    context.second._exchange.on_router_state = lambda state: None
     in_loop(context, context.store.publish, configuration(version))
 
 
@@ -167,7 +167,7 @@
 
 @then("they tell that {count:d} routers are behind {limit_s:g} s after the second may take it over")
 def none_behind(context, count, limit_s):
-    context.second._exchange.heard = context.taking
+    context.second._exchange.on_router_state = context.taking
     wait_for_behind(context, count, limit_s)
 
 
