--- a/features/support/budget_properties.py
+++ b/features/support/budget_properties.py
@@ -1,11 +1,12 @@
-"""The retry budget over a fleet of routers that lose each other, die and start again.
-
-Seen: 189 repeats in ten seconds where 188 were allowed, thirty routers, a sixth of the engines gone
-within a burst. How it came about: an engine breaks many streams at one moment; each looked at the
-budget then and was charged only when it reached its next engine, so all passed on the same room.
-Routers that were not heard for 1.5 s no longer took part of the allowance, and a router that began
-anew had forgotten what it spent, though both count in the window. What proved it: this search, that
-breaks many requests at once, cuts the fleet in two and kills routers, and counts arrivals itself.
+"""The retry budget across a fleet of routers under network partitions, crashes and restarts.
+
+Guards against exceeding the budget: 189 retries in ten seconds were seen where 188 were allowed,
+with thirty routers and a sixth of the engines lost within a burst. When an engine failed, all its
+streams were checked against the budget at the same moment, but each was charged only on reaching
+its next engine, so all used the same remaining budget. Also, routers not heard for 1.5 s no longer
+took a share of the allowance, and a restarted router had lost its count of retries, although both
+count in the window. The search fails many requests at once, partitions the fleet, kills routers and
+counts arrivals itself.
 """
 
 import random
@@ -20,16 +21,16 @@
 
 TICK_S = 0.05
 BOUNDS = RetryBounds(0.2, 10.0, 50.0)
-SHARE_UNREACHABLE = 0.1
-LONGEST_WAY_S = 2.5
-"""From the decision to the arrival: a wait for room and a connection."""
+UNREACHABLE_PROBABILITY = 0.1
+MAX_ARRIVAL_DELAY_S = 2.5
+"""Maximum time from decision to arrival: waiting for capacity and connecting."""
 TICKS = 700
-HEARD_TICKS = 6
-"""Routers hear each other at this interval, in ticks."""
+GOSSIP_INTERVAL_TICKS = 6
+"""Interval at which routers exchange gossip."""
 
 
 class Clock:
-    """A clock that only moves when told."""
+    """A clock that is advanced manually."""
 
     def __init__(self):
         self.now_s = 100.0
@@ -39,87 +40,92 @@
 
 
 class Fleet:
-    """Routers by number, who hears whom, and a ledger of what reached the service."""
+    """Routers by number, the network partition, and the requests that reached the service."""
 
-    def __init__(self, size, chance, clock):
-        self.size, self.chance, self.clock = size, chance, clock
-        self.cut_at = 0
+    def __init__(self, size, rng, clock):
+        self.size, self.rng, self.clock = size, rng, clock
+        self.partition_at = 0
         self.is_dead = [False] * size
-        self.requests, self.extras = [], []
-        self.on_the_way = []
+        self.requests, self.extra_arrivals_s = [], []
+        self.pending_retries = []
         self.gossips = [self.gossip(number) for number in range(size)]
         self.routers = [self.start(number, True) for number in range(size)]
-        self.let_hear()
+        self.exchange_gossip()
 
     def start(self, number, is_first_start):
-        """Return a new life of a router."""
+        """Start a router process; return its retry allowance."""
         gossip = self.gossips[number] = self.gossip(number)
         return RetryAllowance(BOUNDS, gossip.known, is_first_start, self.clock)
 
     def gossip(self, number):
-        """Return what a new life of a router knows of the others: the first two, as its seeds."""
+        """Return the gossip of a newly started router, with the first two routers as seeds."""
         return RouterGossip(str(number), 1, ("0", "1"), None, None, None)
 
-    def let_hear(self):
-        """Let every router that lives hear all that live on its side of the cut."""
+    def exchange_gossip(self):
+        """Deliver gossip between all live routers on the same side of the partition."""
         for number, gossip in enumerate(self.gossips):
             for other in range(self.size):
-                is_beyond = (other < self.cut_at) != (number < self.cut_at)
-                if other != number and not is_beyond and not self.is_dead[other]:
+                is_partitioned = (other < self.partition_at) != (number < self.partition_at)
+                if other != number and not is_partitioned and not self.is_dead[other]:
                     gossip._add_router(str(other)).heard_s = self.clock.now_s
             gossip._detect_silent_routers()
 
-    def ask(self, number):
-        """Let a caller's request reach a router."""
+    def send_request(self, number):
+        """Send a caller's request to a router."""
         if not self.is_dead[number]:
             self.routers[number].request("s").__enter__()
             self.requests.append(self.clock.now_s)
 
-    def break_requests(self, count):
-        """Break requests at one moment; those that may go on arrive again a while later."""
+    def fail_requests(self, count):
+        """Fail requests at the same moment; those allowed to retry arrive again after a delay."""
         for _ in range(count):
-            number = self.chance.randrange(self.size)
+            number = self.rng.randrange(self.size)
             router = self.routers[number]
             retries = router.request("s")
             if not self.is_dead[number] and retries.set_aside(1):
-                arrives_s = self.clock.now_s + self.chance.random() * LONGEST_WAY_S
-                self.on_the_way.append((arrives_s, number, router, retries))
+                arrival_s = self.clock.now_s + self.rng.random() * MAX_ARRIVAL_DELAY_S
+                self.pending_retries.append((arrival_s, number, router, retries))
 
     def tick(self):
-        """Move the clock, and let arrive what is due; what a router has under way dies with it."""
+        """Advance the clock and deliver due retries; a killed router's pending retries are lost."""
         self.clock.now_s += TICK_S
-        due = [one for one in self.on_the_way if one[0] <= self.clock.now_s]
-        self.on_the_way = [one for one in self.on_the_way if one[0] > self.clock.now_s]
+        due = [retry for retry in self.pending_retries if retry[0] <= self.clock.now_s]
+        self.pending_retries = [
+            retry for retry in self.pending_retries if retry[0] > self.clock.now_s
+        ]
         for _, number, router, retries in due:
-            if self.chance.random() < SHARE_UNREACHABLE:
+            if self.rng.random() < UNREACHABLE_PROBABILITY:
                 retries.give_back()
             elif router is self.routers[number] and not self.is_dead[number]:
                 retries.record_arrival()
-                self.extras.append(self.clock.now_s)
+                self.extra_arrivals_s.append(self.clock.now_s)
 
     def kill(self, share):
-        """Kill routers; they start again a moment later."""
+        """Kill each router with probability ``share``; they restart at the next tick."""
         for number in range(self.size):
-            self.is_dead[number] = self.chance.random() < share
+            self.is_dead[number] = self.rng.random() < share
 
-    def start_dead(self):
-        """Start again whoever is dead."""
+    def restart_killed(self):
+        """Restart all killed routers."""
         for number in range(self.size):
             if self.is_dead[number]:
                 self.is_dead[number] = False
                 self.routers[number] = self.start(number, False)
 
     def check(self):
-        """Raise if any window holds more extra arrivals than the rule allows."""
-        for start_s in self.extras:
-            extra = count_in(self.extras, start_s)
+        """Fail if any window contains more extra arrivals than the budget allows."""
+        for start_s in self.extra_arrivals_s:
+            extra_count = count_in_window(self.extra_arrivals_s, start_s)
             windows = (start_s, start_s - BOUNDS.window_s, start_s - BOUNDS.window_s / 2)
-            asked = max(count_in(self.requests, since_s) for since_s in windows)
-            assert extra <= BOUNDS.ratio * asked + BOUNDS.allowance, (extra, asked)
+            request_count = max(count_in_window(self.requests, since_s) for since_s in windows)
+            assert extra_count <= BOUNDS.ratio * request_count + BOUNDS.allowance, (
+                extra_count,
+                request_count,
+            )
 
 
-def count_in(times, since_s):
-    """Return how many times lie in the window that begins at ``since_s``."""
+def count_in_window(times, since_s):
+    """Return how many of ``times`` lie in the window that begins at ``since_s``."""
     return sum(since_s <= at_s < since_s + BOUNDS.window_s for at_s in times)
 
 
@@ -131,35 +137,35 @@
     kills=st.sampled_from([0.0, 0.2, 1.0]),
     is_cut=st.booleans(),
 )
-def the_budget_is_kept_through_breaks_cuts_and_kills(seed, size, broken, kills, is_cut):
-    """In no window do more repeats reach the service than the rule allows."""
+def retry_budget_holds_under_failures_partitions_and_crashes(seed, size, broken, kills, is_cut):
+    """In no window do more retries reach the service than the budget allows."""
     clock = Clock()
     with mock.patch.object(router_gossip, "boot_time_s", clock):
         fleet = Fleet(size, random.Random(seed), clock)
-        live_through(fleet, broken, kills, is_cut)
+        run_fleet(fleet, broken, kills, is_cut)
     fleet.check()
 
 
-def live_through(fleet, broken, kills, is_cut):
-    """Let a fleet live for a while."""
-    size, chance = fleet.size, fleet.chance
+def run_fleet(fleet, broken, kills, is_cut):
+    """Run a fleet for ``TICKS`` ticks with failures, partitions and crashes."""
+    size, rng = fleet.size, fleet.rng
     for number in range(TICKS):
         fleet.tick()
-        fleet.start_dead()
+        fleet.restart_killed()
         for _ in range(2):
-            fleet.ask(chance.randrange(size))
+            fleet.send_request(rng.randrange(size))
         if number % 40 == 20:
-            fleet.break_requests(broken)
+            fleet.fail_requests(broken)
         if is_cut and number % 250 == 200:
-            fleet.cut_at = 0 if fleet.cut_at else size // 2
+            fleet.partition_at = 0 if fleet.partition_at else size // 2
         if kills and number % 160 == 150:
             fleet.kill(kills)
-        if number % HEARD_TICKS == 0:
-            fleet.let_hear()
+        if number % GOSSIP_INTERVAL_TICKS == 0:
+            fleet.exchange_gossip()
 
 
 BUDGET_PROPERTIES = {
     "the fleet keeps the retry budget through breaks, cuts and kills": (
-        the_budget_is_kept_through_breaks_cuts_and_kills
+        retry_budget_holds_under_failures_partitions_and_crashes
     ),
 }
--- a/features/support/caller.py
+++ b/features/support/caller.py
@@ -1,4 +1,4 @@
-"""Callers: each request runs on its own thread and keeps everything that came back."""
+"""Callers: each sends one request on its own thread and stores the complete response."""
 
 import threading
 import time
@@ -10,7 +10,7 @@
 from yokedock.base.clock import boot_time_s
 from yokedock_emulator.tokens import expected_text
 
-END_LIMIT_S = 40.0
+RESPONSE_TIMEOUT_S = 40.0
 
 
 class Caller:
@@ -21,7 +21,7 @@
         self.data = b""
         self.error = None
         self.response = None
-        self._connection_gone = threading.Event()
+        self._connection_closed = threading.Event()
         self._url, self._path, self._body = url, path, body
         self._headers = {"Authorization": f"Bearer {TOKEN}", **(headers or {})}
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -36,19 +36,19 @@
                 body=self._body,
                 headers=self._headers,
                 preload_content=False,
-                timeout=urllib3.Timeout(connect=2.0, read=END_LIMIT_S),
+                timeout=urllib3.Timeout(connect=2.0, read=RESPONSE_TIMEOUT_S),
             )
             self.status = self.response.status
             self.headers = self.response.headers
-            for part in self.response.stream(None):
-                self.data += part
+            for chunk in self.response.stream(None):
+                self.data += chunk
         except (urllib3.exceptions.HTTPError, OSError, AttributeError, ValueError) as error:
             self.error = error
 
     def wait(self):
-        """Wait for the final answer, or the end of the connection."""
-        self._thread.join(END_LIMIT_S)
-        assert not self._thread.is_alive(), f"no final answer after {END_LIMIT_S} s"
+        """Wait until the response ends or the connection closes."""
+        self._thread.join(RESPONSE_TIMEOUT_S)
+        assert not self._thread.is_alive(), f"response not complete after {RESPONSE_TIMEOUT_S} s"
         return self
 
     def is_waiting(self):
@@ -56,29 +56,30 @@
 
     def wait_events(self, count):
         """Wait until ``count`` events have arrived."""
-        give_up = boot_time_s() + END_LIMIT_S
-        while self.data.count(b"\n\n") < count and boot_time_s() < give_up:
+        deadline_s = boot_time_s() + RESPONSE_TIMEOUT_S
+        while self.data.count(b"\n\n") < count and boot_time_s() < deadline_s:
             time.sleep(0.005)
         assert self.data.count(b"\n\n") >= count, f"{self.status} {self.data!r} {self.error}"
 
     def leave(self):
-        """Close the connection in the middle of the answer, or before it."""
-        give_up = boot_time_s() + END_LIMIT_S
-        while self.response is None and self._thread.is_alive() and boot_time_s() < give_up:
+        """Close the connection as soon as the response headers have arrived."""
+        deadline_s = boot_time_s() + RESPONSE_TIMEOUT_S
+        while self.response is None and self._thread.is_alive() and boot_time_s() < deadline_s:
             time.sleep(0.005)
         self.close()
 
     def close(self):
-        """Close the connection if an answer has begun."""
+        """Close the connection if response headers have arrived."""
         if self.response is not None:
             self.response.close()
 
     def outcome(self):
-        """Return the typed outcome of an error answer, None if there is none."""
+        """Return the typed outcome of an error response, or None if there is no error."""
         body = self.json_error()
         return None if body is None else body["outcome"]
 
     def json_error(self):
+        """Return the error object of the response, or None if there is none."""
         for event in self.data.split(b"\n\n"):
             try:
                 document = msgspec.json.decode(event.removeprefix(b"data: "))
@@ -98,7 +99,7 @@
         super().__init__(url, "/v1/completions", msgspec.json.encode(body), headers)
 
     def text(self):
-        """Return the text of all events so far."""
+        """Return the concatenated text of all events received so far."""
         texts = []
         for event in self.data.split(b"\n\n"):
             payload = event.removeprefix(b"data: ")
@@ -107,30 +108,32 @@
         return "".join(texts)
 
     def tokens(self):
-        """Return how many tokens have arrived; the stand-in's are words."""
+        """Return how many tokens have arrived; the emulated engine's tokens are words."""
         return len(self.text().split())
 
     def wait_tokens(self, count):
         """Wait until ``count`` tokens have arrived."""
-        give_up = boot_time_s() + END_LIMIT_S
-        while self.tokens() < count and boot_time_s() < give_up:
+        deadline_s = boot_time_s() + RESPONSE_TIMEOUT_S
+        while self.tokens() < count and boot_time_s() < deadline_s:
             time.sleep(0.02)
-        assert self.tokens() >= count, f"not {count}: {self.status} {self.data[-300:]!r}"
+        assert self.tokens() >= count, (
+            f"fewer than {count} tokens: {self.status} {self.data[-300:]!r}"
+        )
 
     def ends(self):
-        """Return how many final events came: the end of the stream and errors."""
+        """Return how many final events arrived: end-of-stream markers and errors."""
         return self.data.count(b"data: [DONE]") + self.data.count(b'data: {"error"')
 
     def is_whole(self):
         return self.ends() == 1 and self.text() == expected_text(self.prompt, self.max_tokens)
 
     def is_prefix(self):
-        """Return whether what came is the beginning of the right answer."""
+        """Return whether the received text is a prefix of the expected text."""
         return expected_text(self.prompt, self.max_tokens).startswith(self.text())
 
 
 class ServiceCaller(Caller):
-    """A call to a plain service."""
+    """A unary call to a service with an idempotency key."""
 
     def __init__(self, url, service, body, key, deadline_ms=8000):
         headers = {"Idempotency-Key": key, "X-Deadline-Ms": str(deadline_ms)}
--- a/features/support/deployment.py
+++ b/features/support/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment as real processes, with a relay before every agent and every engine."""
+"""A complete deployment of real processes, with a relay in front of every agent and backend."""
 
 import hashlib
 import shutil
@@ -41,12 +41,12 @@
 PREFILL = ("prefill-1", "prefill-2")
 DECODE = ("decode-1", "decode-2")
 HOMES = ("booking-1", "booking-2")
-LISTS = ("prices-1",)
+PRICE_LIST_AGENTS = ("prices-1",)
 GATEWAYS = ("gateway-1", "gateway-2")
 
 
 class Deployment:
-    """Stand-ins, agents and gateways of one test worker."""
+    """Emulators, agents and gateways of one test worker."""
 
     def __init__(self, checks_fencing=True, decode_slots=8, lease_s=LEASE_S, idle_heartbeat_s=0):
         self.directory = Path(tempfile.mkdtemp(prefix="yokedock-test-"))
@@ -75,12 +75,12 @@
     # --- Start ---
 
     def _start_all(self):
-        self._add_stand_in("platform", ["platform"])
+        self._add_emulator("platform", ["platform"])
         for name in (*PREFILL, *DECODE):
-            self._add_stand_in(f"engine {name}", ["engine", *self._engine_options(name)])
-        for name in (*HOMES, *LISTS):
-            self._add_stand_in(f"service {name}", ["service"])
-        for name in (*PREFILL, *DECODE, *HOMES, *LISTS):
+            self._add_emulator(f"engine {name}", ["engine", *self._engine_options(name)])
+        for name in (*HOMES, *PRICE_LIST_AGENTS):
+            self._add_emulator(f"service {name}", ["service"])
+        for name in (*PREFILL, *DECODE, *HOMES, *PRICE_LIST_AGENTS):
             self._add_agent(name)
         for name in GATEWAYS:
             self._add_gateway(name)
@@ -104,7 +104,7 @@
             "--checks-fencing" if self.checks_fencing else "--no-checks-fencing",
         ]
 
-    def _add_stand_in(self, name, arguments):
+    def _add_emulator(self, name, arguments):
         address = self.ports.address()
         self.urls[name] = f"http://{address}"
         command_line = [program("yokedock-emulator"), *arguments, "--listen", address]
@@ -114,19 +114,19 @@
     def _add_agent(self, name):
         kind = "engine" if name in PREFILL + DECODE else "service"
         listen, admin = self.ports.address(), self.ports.address()
-        back_end = Relay(self.ports.address(), self.urls[f"{kind} {name}"].removeprefix("http://"))
-        self.engine_relays[name] = back_end
+        backend = Relay(self.ports.address(), self.urls[f"{kind} {name}"].removeprefix("http://"))
+        self.engine_relays[name] = backend
         self.agent_relays[name] = Relay(self.ports.address(), listen)
         self.transfer_relays[name] = Relay(self.ports.address(), listen)
-        advertised = self.transfer_relays[name].address
+        advertised_address = self.transfer_relays[name].address
         sections = {
             "process": {"name": name, "zone": f"zone-{name[-1]}"},
             "backend": {
                 "kind": kind,
-                "url": f"http://{back_end.address}",
+                "url": f"http://{backend.address}",
                 "slots": str(self.decode_slots),
             },
-            "peers": {**self._peer_options(), "listen": listen, "advertise": advertised},
+            "peers": {**self._peer_options(), "listen": listen, "advertise": advertised_address},
         }
         self._add_daemon(name, "agent", sections, admin)
 
@@ -164,7 +164,7 @@
     # --- Bundles ---
 
     def bundle_sections(self, homes=HOMES, roles=None):
-        """Return the bundle's source; ``roles`` gives engines another role than their name's."""
+        """Return the bundle's source; ``roles`` overrides roles implied by engine names."""
         roles = roles or {}
         sections = {
             "limits": {
@@ -186,7 +186,7 @@
                 "role": roles.get(name, name.split("-")[0]),
                 "model": MODEL,
             }
-        for name in (*homes, *LISTS):
+        for name in (*homes, *PRICE_LIST_AGENTS):
             sections[f"replica {name}"] = {
                 "service": SERVICE if name in HOMES else REPEATABLE,
                 "zone": f"zone-{name[-1]}",
@@ -195,7 +195,7 @@
         return sections
 
     def sign(self, version, sections=None):
-        """Sign a version by the command line; return it as it would be published."""
+        """Sign a version with the command line; return the directory of its signed files."""
         source = write_ini(self.directory / f"{version}.ini", sections or self.bundle_sections())
         out = self.directory / f"signed-{version}"
         shutil.rmtree(out, ignore_errors=True)
@@ -205,20 +205,20 @@
         command(*arguments, "--out", out)
         return out
 
-    def sign_here(self, version, sections):
-        """Sign a version in this process: quicker than a step can be held."""
+    def sign_in_process(self, version, sections):
+        """Sign a version in this process, which is faster than a step can be held."""
         source = write_ini(self.directory / f"{version}.ini", sections or self.bundle_sections())
         bundle, key = read_bundle_source(source), self.private_key()
         if self.signed is not None:
-            before = open_signed(read_signed(self.signed), key.public_key())
-            bundle = with_previous_pools(bundle, before, wall_clock_ms())
+            previous = open_signed(read_signed(self.signed), key.public_key())
+            bundle = with_previous_pools(bundle, previous, wall_clock_ms())
         out = self.directory / f"signed-{version}"
         write_signed(sign_bundle(bundle, version, wall_clock_ms(), key), out)
         return out
 
     def publish(self, sections=None):
         """Sign and publish the next version."""
-        out = self.sign_here(self.version + 1, sections)
+        out = self.sign_in_process(self.version + 1, sections)
         self.version += 1
         self.signed = out
         self.publish_directory(out)
@@ -233,31 +233,31 @@
     def private_key(self):
         return read_private_key(self.key_file)
 
-    # --- Looking ---
+    # --- State ---
 
     def status(self, name):
         return read_json(f"http://{self.admin[name]}/status", ProcessStatus)
 
     def ledger(self, name):
-        """Return what a stand-in says really happened."""
+        """Return an emulator's own record of what it executed and holds."""
         kind = EngineLedger if name.startswith("engine ") else ServiceLedger
         return read_json(f"{self.urls[name]}/ledger", kind)
 
     def engine_role(self, name):
-        """Return the role that the engine itself has now."""
+        """Return the role that the engine itself reports."""
         return read_json(f"{self.urls[f'engine {name}']}/v1/load", Load).role
 
     def engine_names(self):
         return [f"engine {name}" for name in (*PREFILL, *DECODE)]
 
     def hold(self, step, kind="engine "):
-        """Hold every stand-in of a kind at a step; the empty step lets all go on."""
+        """Pause all emulators of a kind at a step; an empty step resumes them."""
         for name, url in self.urls.items():
             if name.startswith(kind) and self.nodes[name].is_alive():
                 post_json(f"{url}/test/hold", HoldOrder(step))
 
     def stall(self, is_stalled):
-        """Let the engines' links stand still, or go on."""
+        """Stall the transfer links between engines, or resume them."""
         for name in self.engine_names():
             if self.nodes[name].is_alive():
                 post_json(f"{self.urls[name]}/test/link", LinkState(is_stalled))
@@ -266,9 +266,9 @@
         post_json(f"{self.urls['platform']}/test/outage", Outage(**what))
 
     def fresh_key(self):
-        """Return a key made after every home's start plus the allowed difference of clocks.
+        """Return a key created after the start of every home agent plus the allowed clock skew.
 
-        A home that has just started rightly refuses older keys, so this waits until none would.
+        A restarted home agent refuses older keys by design, so this waits until none would.
         """
         started = max(self.status(name).incarnation for name in HOMES)
         while wall_clock_ms() <= started + CLOCK_SKEW_MS + 1:
@@ -276,27 +276,30 @@
         return new_key(wall_clock_ms())
 
     def daemons(self):
-        return [*PREFILL, *DECODE, *HOMES, *LISTS, *GATEWAYS]
+        return [*PREFILL, *DECODE, *HOMES, *PRICE_LIST_AGENTS, *GATEWAYS]
 
     def wait_ready(self, names=None):
-        """Wait until the gateways see every agent ready under the version in force."""
-        self.wait_for(lambda: all(map(self._sees_all, names or GATEWAYS)), READY_LIMIT_S, "ready")
+        """Wait until the gateways see every agent connected and ready at the current version."""
+        self.wait_for(
+            lambda: all(map(self._sees_all_ready, names or GATEWAYS)), READY_LIMIT_S, "ready"
+        )
 
-    def _sees_all(self, gateway):
+    def _sees_all_ready(self, gateway):
         status = self.status(gateway)
         peers = [p for p in status.peers if p.connected and p.ready and p.version == self.version]
         return status.ready and status.version == self.version and len(peers) == len(status.peers)
 
     def wait_for(self, condition, limit_s, what):
-        give_up = boot_time_s() + limit_s
-        while boot_time_s() < give_up:
+        """Poll ``condition`` until it is true; fail with the recent logs after ``limit_s``."""
+        deadline_s = boot_time_s() + limit_s
+        while boot_time_s() < deadline_s:
             if condition():
                 return
             time.sleep(0.02)
         raise AssertionError(f"not {what} after {limit_s} s\n{self.recent_logs()}")
 
     def recent_logs(self):
-        """Return the last lines of every log, for a failing scenario's report."""
+        """Return the last lines of every log for the report of a failed scenario."""
         tails = []
         for node in self.nodes.values():
             lines = [line[:400] for line in node.log_text().splitlines()[-6:]]
@@ -304,14 +307,14 @@
         return "\n".join(tails)
 
     def died_report(self, name):
-        """Return the last lines of a process that ended by itself."""
+        """Return the exit status and last log output of a process that exited unexpectedly."""
         node = next(node for node in self.nodes.values() if node.name == name)
         return f"{name}: status {node.process.returncode}\n{node.log_text()[-2000:]}"
 
-    # --- Healing and end ---
+    # --- Recovery and shutdown ---
 
     def heal(self):
-        """Undo every fault, start what is down, and wait until all is ready."""
+        """Undo all faults, start stopped processes, and wait until everything is ready."""
         for relays in (self.agent_relays, self.transfer_relays, self.engine_relays):
             for relay in relays.values():
                 relay.heal()
@@ -334,7 +337,7 @@
         self.wait_ready()
 
     def leaving(self):
-        """Return the names of the peers that any gateway sees leaving."""
+        """Return the names of the peers that any gateway sees as leaving."""
         peers = [peer for gateway in GATEWAYS for peer in self.status(gateway).peers]
         return {peer.name for peer in peers if peer.leaving}
 
--- a/features/support/faults.py
+++ b/features/support/faults.py
@@ -1,4 +1,4 @@
-"""The faults of the matrix: each strikes the processes that serve one request, then is undone."""
+"""Faults of the fault matrix: each is injected into the processes of one request, then undone."""
 
 import time
 
@@ -6,14 +6,14 @@
 from support.processes import post_json
 from yokedock.connection.machine_list import STATE_LEAVING, STATE_LIVE, Machine, MachineList
 
-PAST_LEASE_S = LEASE_S + 0.7
-"""A freeze or a cut lasts longer than every lease."""
-ROLE_LIMIT_S = 20.0
-LEAVING_LIMIT_S = 9.0
+FAULT_DURATION_S = LEASE_S + 0.7
+"""Duration of freezes, cuts, holds, stalls and outages; longer than every lease."""
+ROLE_CHANGE_TIMEOUT_S = 20.0
+LEAVING_TIMEOUT_S = 9.0
 
 
 class Cell:
-    """One request under one fault: who serves it, and how the fault works."""
+    """One cell of the fault matrix: a request and the processes that serve it."""
 
     def __init__(self, deployment, gateway, caller):
         self.deployment = deployment
@@ -24,7 +24,7 @@
         self.home = busy(deployment, HOMES)
 
     def node(self, role):
-        """Return the process that plays ``role`` for this request."""
+        """Return the process that has ``role`` for this request."""
         names = {
             "gateway": self.gateway,
             "prefill agent": self.prefill,
@@ -37,7 +37,7 @@
         return self.deployment.nodes[names[role]]
 
     def relay(self, link):
-        """Return the relay that stands in a link of this request."""
+        """Return the relay on a link that this request uses."""
         deployment = self.deployment
         relays = {
             "gateway to prefill agent": deployment.agent_relays[self.prefill],
@@ -52,7 +52,7 @@
 
 
 def busy(deployment, names):
-    """Return the agent that holds a request, else the first."""
+    """Return the first agent with a request in flight, or the first one if all are idle."""
     for name in names:
         if deployment.status(name).in_flight:
             return name
@@ -60,13 +60,13 @@
 
 
 def strike(cell, fault, go_on):
-    """Apply a fault, let the held step go on, and undo what lasts. ``fault`` is "verb: object"."""
+    """Inject a fault, release the held step, and undo the fault. ``fault`` is "verb: target"."""
     verb, _, target = fault.partition(": ")
     _FAULTS[verb](cell, target, go_on)
 
 
 def _kill(cell, target, go_on):
-    """Kill a process; the platform replaces it a moment later."""
+    """Kill a process and start its replacement after the held step is released."""
     node = cell.node(target)
     node.kill()
     go_on()
@@ -78,14 +78,14 @@
     node = cell.node(target)
     node.freeze()
     go_on()
-    time.sleep(PAST_LEASE_S)
+    time.sleep(FAULT_DURATION_S)
     node.thaw()
 
 
 def _cut(cell, target, go_on):
     cell.relay(target).cut()
     go_on()
-    time.sleep(PAST_LEASE_S)
+    time.sleep(FAULT_DURATION_S)
     cell.relay(target).heal()
 
 
@@ -93,13 +93,13 @@
     def hold(cell, target, go_on):
         cell.relay(target).hold(*directions)
         go_on()
-        time.sleep(PAST_LEASE_S)
+        time.sleep(FAULT_DURATION_S)
         cell.relay(target).heal()
 
     return hold
 
 
-def _cancel(cell, target, go_on):
+def _disconnect_caller(cell, target, go_on):
     cell.caller.leave()
     go_on()
 
@@ -107,20 +107,20 @@
 def _outage(cell, target, go_on):
     cell.deployment.set_outage(**{target: True})
     go_on()
-    time.sleep(PAST_LEASE_S)
+    time.sleep(FAULT_DURATION_S)
 
 
-def _old_version(cell, target, go_on):
-    """The configuration service serves the version before the one in force."""
+def _serve_old_version(cell, target, go_on):
+    """Make the configuration service serve the version before the current one."""
     deployment = cell.deployment
-    old = deployment.signed
+    old_directory = deployment.signed
     deployment.publish()
     deployment.wait_for(
         lambda: any(deployment.status(n).version == deployment.version for n in all_daemons(cell)),
         9.0,
         "adopted by one process",
     )
-    deployment.publish_directory(old)
+    deployment.publish_directory(old_directory)
     go_on()
     deployment.wait_for(
         lambda: all(deployment.status(n).version == deployment.version for n in all_daemons(cell)),
@@ -130,11 +130,11 @@
     deployment.publish_directory(deployment.signed)
 
 
-def _roll(cell, target, go_on):
-    """Roll a new bundle; with homes moved, the service's pool shrinks to one replica."""
+def _roll_out(cell, target, go_on):
+    """Roll out a new bundle; "homes moved" shrinks the service's pool to one replica."""
     deployment = cell.deployment
-    homes = HOMES[:1] if target == "homes moved" else HOMES
-    deployment.publish(deployment.bundle_sections(homes))
+    home_agents = HOMES[:1] if target == "homes moved" else HOMES
+    deployment.publish(deployment.bundle_sections(home_agents))
     go_on()
     deployment.wait_for(
         lambda: all(deployment.status(n).version == deployment.version for n in all_daemons(cell)),
@@ -144,12 +144,12 @@
 
 
 def all_daemons(cell):
-    """Return the names of all reachable processes of the system."""
+    """Return the names of all agents and gateways."""
     return cell.deployment.daemons()
 
 
-def _leaving(cell, target, go_on):
-    """Put a back end on the leaving list; it gets no new work after 3 s."""
+def _mark_leaving(cell, target, go_on):
+    """Mark a backend as leaving in the machine list; it gets no new work after 3 s."""
     name = {"prefill": cell.prefill, "decode": cell.decode, "service": cell.home}[target]
     machines = [
         Machine(other, STATE_LEAVING if other == name else STATE_LIVE)
@@ -158,14 +158,14 @@
     post_json(f"{cell.deployment.urls['platform']}/test/machines", MachineList(tuple(machines)))
     go_on()
     cell.leaving = name
-    # The list lags: without this wait the fault would strike after its cell has ended.
+    # The list is polled: without this wait the fault could take effect after the cell has ended.
     cell.deployment.wait_for(
-        lambda: name in cell.deployment.leaving(), LEAVING_LIMIT_S, f"{name} seen leaving"
+        lambda: name in cell.deployment.leaving(), LEAVING_TIMEOUT_S, f"{name} seen leaving"
     )
 
 
-def _stop(cell, target, go_on):
-    """Planned stop: the process must let the request end first, then exit by itself."""
+def _stop_gracefully(cell, target, go_on):
+    """Stop gracefully: the process must complete the request before it exits."""
     node = cell.node(target)
     node.terminate()
     go_on()
@@ -176,7 +176,7 @@
 
 
 def _role_change(cell, target, go_on):
-    """Give the request's engine the other role while it works: it must drain first."""
+    """Change the role of the request's engine while it is busy: it must drain first."""
     deployment = cell.deployment
     name = {"prefill": cell.prefill, "decode": cell.decode}[target]
     other = {"prefill": "decode", "decode": "prefill"}[target]
@@ -186,23 +186,25 @@
     )
     go_on()
     cell.caller.wait()
-    wait_role(deployment, name, other)
+    wait_for_role(deployment, name, other)
     deployment.publish()
-    wait_role(deployment, name, target)
+    wait_for_role(deployment, name, target)
 
 
-def wait_role(deployment, name, role):
-    """Wait until the engine itself says that it has the role."""
+def wait_for_role(deployment, name, role):
+    """Wait until the engine itself reports the role."""
     deployment.wait_for(
-        lambda: deployment.engine_role(name) == role, ROLE_LIMIT_S, f"{name} a {role} engine"
+        lambda: deployment.engine_role(name) == role,
+        ROLE_CHANGE_TIMEOUT_S,
+        f"{name} a {role} engine",
     )
 
 
 def _stall(cell, target, go_on):
-    """The engines' link stands still for longer than a lease."""
+    """Stall the transfer links between engines for longer than a lease."""
     cell.deployment.stall(True)
     go_on()
-    time.sleep(PAST_LEASE_S)
+    time.sleep(FAULT_DURATION_S)
     cell.deployment.stall(False)
 
 
@@ -213,12 +215,12 @@
     "hold both": _hold("forth", "back"),
     "hold forth": _hold("forth"),
     "hold back": _hold("back"),
-    "caller": _cancel,
+    "caller": _disconnect_caller,
     "configuration": _outage,
-    "older version": _old_version,
-    "roll": _roll,
-    "leaving": _leaving,
-    "planned stop": _stop,
+    "older version": _serve_old_version,
+    "roll": _roll_out,
+    "leaving": _mark_leaving,
+    "planned stop": _stop_gracefully,
     "stall": _stall,
     "role change": _role_change,
 }
--- a/features/support/fuzz_properties.py
+++ b/features/support/fuzz_properties.py
@@ -1,6 +1,6 @@
-"""Decoders meet bytes that nobody meant for them: typed errors only, and no belief from them.
+"""Fuzz tests of decoders: malformed input gives only typed errors and changes no state.
 
-``make fuzz`` runs the same with fresh seeds for as long as it is let.
+``make fuzz`` runs the same checks with random seeds for a given time.
 """
 
 import base64
@@ -38,8 +38,8 @@
 )  # fmt: skip
 
 
-def spoilt(data):
-    """Return bytes in the place of ``data``: a part of it, with some bytes changed or added."""
+def corrupted(data):
+    """Return truncated copies of ``data`` with some bytes changed or appended."""
     positions = st.lists(
         st.tuples(st.integers(0, max(0, len(data) - 1)), st.integers(0, 255)), max_size=4
     )
@@ -53,13 +53,13 @@
     return st.builds(change, positions, st.integers(0, len(data)), st.binary(max_size=4))
 
 
-def odd_bytes(data):
-    """Return what may come in the place of ``data``."""
-    return st.binary(max_size=200) | spoilt(data)
+def malformed_bytes(data):
+    """Return random bytes, or corrupted copies of ``data``."""
+    return st.binary(max_size=200) | corrupted(data)
 
 
-def entries_are_read_or_refused(document):
-    """An entry becomes one whole backend or none."""
+def entries_decode_or_are_rejected(document):
+    """An entry decodes to one valid backend or is reported as undecoded."""
     value = base64.b64encode(document).decode()
     changes = items_to_changes((StoredItem("servers/i-1", value, 3),), SourcePosition(revision=3))
     assert len(changes.changed) + len(changes.undecoded) == 1
@@ -68,36 +68,38 @@
         assert 0 < int(entry.address.rpartition(":")[2]) < 65_536
 
 
-def fields_are_read_or_refused(fields):
-    """So it is with fields of any kind in the place of the right ones."""
-    entries_are_read_or_refused(json.dumps(GOOD | fields).encode())
+def fields_decode_or_are_rejected(fields):
+    """The same holds for entries whose fields have values of any JSON type."""
+    entries_decode_or_are_rejected(json.dumps(GOOD | fields).encode())
 
 
-def configurations_are_read_or_refused(document):
-    """A configuration becomes a table or nothing."""
+def configurations_decode_or_are_rejected(document):
+    """A configuration decodes to a route table or is reported as undecoded."""
     value = base64.b64encode(document).decode()
     changes = items_to_changes((StoredItem("op/config", value, 3),), SourcePosition(revision=3))
     assert (changes.table is None) == (changes.undecoded == ("op/config",))
 
 
-def datagrams_are_heard_or_dropped(data):
-    """A datagram is one router's state or nothing."""
-    heard = []
-    gossip = RouterGossip("10.0.0.1", 1, (), lambda n, named: STATE, heard.append, heard.append)
+def datagrams_decode_or_are_dropped(data):
+    """A datagram decodes to a router's state or is dropped."""
+    received = []
+    gossip = RouterGossip(
+        "10.0.0.1", 1, (), lambda n, named: STATE, received.append, received.append
+    )
     gossip.datagram_received(data, ("10.0.0.2", 1))
-    assert all(isinstance(other.state, RouterState) for other in heard)
+    assert all(isinstance(other.state, RouterState) for other in received)
 
 
-def states_are_unpacked_or_refused(data):
-    """Another router's answer is a state or a typed error."""
+def snapshots_unpack_or_are_rejected(data):
+    """Another router's response decodes to a snapshot or raises a typed error."""
     try:
         assert isinstance(unpack(data), StateSnapshot)
     except (msgspec.MsgspecError, zlib.error):
         return
 
 
-def heads_are_understood_or_refused(values):
-    """What a caller's headers say is terms or a typed error."""
+def request_heads_parse_or_are_rejected(values):
+    """A caller's headers parse into request metadata or raise a typed error."""
     names = (b"X-Deadline-Ms", b"Last-Event-Id", b"X-Tokens", b"X-Prompt-Parts", b"X-Output-Hint")
     head = RequestHead(tuple(zip(names, values, strict=False)), b"POST", b"/x")
     try:
@@ -106,7 +108,7 @@
         return
 
 
-PACKED = msgspec.msgpack.encode(
+PACKED_SNAPSHOT = msgspec.msgpack.encode(
     {
         "position": 4,
         "backends": {"i-1": BackendEntry("i-1", "s", "10.0.0.1:1")},
@@ -115,32 +117,35 @@
 )
 CASES = {
     "entries are read or refused": (
-        entries_are_read_or_refused,
-        odd_bytes(json.dumps(GOOD).encode()),
+        entries_decode_or_are_rejected,
+        malformed_bytes(json.dumps(GOOD).encode()),
     ),
     "fields are read or refused": (
-        fields_are_read_or_refused,
+        fields_decode_or_are_rejected,
         st.dictionaries(st.sampled_from(sorted(GOOD)), JSON, min_size=1, max_size=3),
     ),
     "configurations are read or refused": (
-        configurations_are_read_or_refused,
-        odd_bytes(b'{"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/p/",'
+        configurations_decode_or_are_rejected,
+        malformed_bytes(b'{"version":7,"routes":[{"name":"r","host":"h","pathPrefix":"/p/",'
                   b'"routeType":"streaming","timeoutMs":1}],"services":[{"name":"a"}]}'),
     ),
     "datagrams are heard or dropped": (
-        datagrams_are_heard_or_dropped,
-        odd_bytes(msgspec.msgpack.encode(STATE)),
+        datagrams_decode_or_are_dropped,
+        malformed_bytes(msgspec.msgpack.encode(STATE)),
+    ),
+    "states are unpacked or refused": (
+        snapshots_unpack_or_are_rejected,
+        malformed_bytes(PACKED_SNAPSHOT),
     ),
-    "states are unpacked or refused": (states_are_unpacked_or_refused, odd_bytes(PACKED)),
     "heads are understood or refused": (
-        heads_are_understood_or_refused,
+        request_heads_parse_or_are_rejected,
         st.lists(st.binary(max_size=20), max_size=5),
     ),
 }  # fmt: skip
 
 
-def search(check, cases, examples, seeded):
-    """Return a search over ``cases``, the same each time if ``seeded``."""
+def property_test(check, cases, examples, seeded):
+    """Return a property test over ``cases``, deterministic if ``seeded``."""
     rules = settings(
         max_examples=examples,
         deadline=None,
@@ -152,17 +157,17 @@
 
 
 FUZZ_PROPERTIES = {
-    name: search(check, cases, 300, seeded=True) for name, (check, cases) in CASES.items()
+    name: property_test(check, cases, 300, seeded=True) for name, (check, cases) in CASES.items()
 }
 
 
 def main():
-    """Search with fresh seeds until the time given by ``FUZZ_SECONDS`` is over (600 s)."""
+    """Run with random seeds for ``FUZZ_SECONDS`` seconds (default 600)."""
     until_s = time.monotonic() + float(os.environ.get("FUZZ_SECONDS", "600"))
     rounds = 0
     while time.monotonic() < until_s:
         for check, cases in CASES.values():
-            search(check, cases, 2_000, seeded=False)()
+            property_test(check, cases, 2_000, seeded=False)()
         rounds += 1
         print(f"{rounds} rounds of {2_000 * len(CASES)} cases, no failure", flush=True)
 
--- a/features/support/judge.py
+++ b/features/support/judge.py
@@ -1,4 +1,4 @@
-"""The judge: reads the stand-ins' ledgers, never the system's own word."""
+"""Assertions on the emulators' ledgers, which are independent of the system's own reports."""
 
 import time
 
@@ -7,12 +7,12 @@
 
 NO_NEW_WORK_AFTER_S = 3.0
 
-RELEASE_LIMIT_S = 3 * LEASE_S + 8
-"""Longest time after which something may still be held: leases, plus slack for a busy machine."""
+RELEASE_TIMEOUT_S = 3 * LEASE_S + 8
+"""Longest time for which resources may stay held: leases plus slack for a busy machine."""
 
 
 def held_items(deployment):
-    """Return everything any engine holds for a request."""
+    """Return every item that any engine holds for a request."""
     return [
         (name, item)
         for name in deployment.engine_names()
@@ -22,21 +22,21 @@
 
 
 def assert_nothing_held(deployment):
-    """Fail if memory stays held at any engine beyond the lease time."""
+    """Fail if any engine still holds memory after ``RELEASE_TIMEOUT_S``."""
     deployment.wait_for(
-        lambda: not held_items(deployment), RELEASE_LIMIT_S, "released by every engine"
+        lambda: not held_items(deployment), RELEASE_TIMEOUT_S, "released by every engine"
     )
 
 
 def assert_nothing_dropped(deployment):
-    """Fail if an engine was told to change its role while it still worked."""
+    """Fail if a role change made an engine drop requests in progress."""
     for name in deployment.engine_names():
         dropped = deployment.ledger(name).dropped_by_role_change
-        assert not dropped, f"{name} dropped {dropped} at a change of its role"
+        assert not dropped, f"{name} dropped {dropped} in a role change"
 
 
 def assert_answer_or_refusal(caller):
-    """Fail unless the caller got its whole answer, or a refusal with a time to come back."""
+    """Fail unless the caller got its complete response, or a refusal with ``Retry-After``."""
     if caller.status == 200:
         assert caller.is_whole(), f"{caller.data[-300:]!r} {caller.error}"
         return
@@ -46,7 +46,7 @@
 
 
 def assert_answered_once(caller):
-    """Fail unless exactly one final answer came: the whole text or one typed error."""
+    """Fail unless the response ended exactly once, with the end of its text or one typed error."""
     detail = f"{caller.status} {caller.data[-400:]!r} {caller.error}"
     if caller.status == 200:
         assert caller.ends() == 1 and caller.is_prefix(), detail
@@ -55,16 +55,16 @@
 
 
 def assert_not_run_is_true(deployment, caller, request_id):
-    """Fail if the caller was told "not run" although an engine worked for the request."""
+    """Fail if the caller got the outcome "not_run" although an engine started the request."""
     if not request_id or caller.outcome() != "not_run":
         return
     for name in deployment.engine_names():
         started = [s for s in deployment.ledger(name).requests_started if s.startswith(request_id)]
-        assert not started, f"told not_run, but {name} ran {started}"
+        assert not started, f"the outcome is not_run, but {name} started {started}"
 
 
 def assert_version_everywhere(deployment):
-    """Fail unless the newest bundle is in force on every process within 9 s."""
+    """Fail unless every live process has adopted the newest bundle within 9 s."""
     deployment.wait_for(
         lambda: all(
             deployment.status(name).version == deployment.version
@@ -77,7 +77,7 @@
 
 
 def note_told(caller):
-    """Print what the caller was told, for the count of outcomes at the end of a run."""
+    """Print the outcome that the caller got, for the summary at the end of a run."""
     if caller.json_error() is not None:
         print(f"told: {caller.outcome()}")
     elif caller.error is not None or caller.status is None:
@@ -87,23 +87,25 @@
 
 
 def executions_of(deployment, key):
-    """Return what the services really ran for a key."""
+    """Return the executions of a key that the services recorded."""
     names = [name for name in deployment.urls if name.startswith("service ")]
     return [e for name in names for e in deployment.ledger(name).executions if e.key == key]
 
 
 def assert_no_new_work(context, leaving):
-    """Fail if a leaving back end starts anything after 3 s."""
+    """Fail if a leaving backend starts any request after 3 s."""
     time.sleep(NO_NEW_WORK_AFTER_S)
     deployment = context.deployment
-    started = work_started(deployment, leaving)
+    started = work_started_count(deployment, leaving)
     for number in range(6):
         caller = StreamCaller(deployment.urls["gateway-2"], f"after leaving {number}", 3).wait()
         assert caller.status in (200, 429, 503), caller.data
-    assert work_started(deployment, leaving) == started, f"{leaving} got new work"
+    assert work_started_count(deployment, leaving) == started, (
+        f"leaving backend {leaving} started a new request"
+    )
 
 
-def work_started(deployment, name):
+def work_started_count(deployment, name):
     if f"engine {name}" in deployment.urls:
         return len(deployment.ledger(f"engine {name}").requests_started)
     return len(deployment.ledger(f"service {name}").executions)
--- a/features/support/soak.py
+++ b/features/support/soak.py
@@ -11,7 +11,7 @@
 
 from support.caller import ServiceCaller, StreamCaller
 from support.deployment import DECODE, GATEWAYS, HOMES, LEASE_S, PREFILL, SERVICE
-from support.faults import PAST_LEASE_S
+from support.faults import FAULT_DURATION_S
 from yokedock.base.clock import boot_time_s, wall_clock_ms
 from yokedock.request.idempotency import new_key
 
@@ -150,7 +150,7 @@
         self._note(f"freeze {name}")
         node = self._deployment.nodes[name]
         node.freeze()
-        time.sleep(PAST_LEASE_S)
+        time.sleep(FAULT_DURATION_S)
         node.thaw()
 
     def _cut(self):
@@ -160,7 +160,7 @@
         direction = self._random.choice((("forth",), ("back",), ("forth", "back")))
         self._note(f"hold {direction} of {relay.address}")
         relay.hold(*direction)
-        time.sleep(PAST_LEASE_S)
+        time.sleep(FAULT_DURATION_S)
         relay.heal()
 
     def _roll(self):
