--- a/features/support/narrow_link.py
+++ b/features/support/narrow_link.py
@@ -1,13 +1,16 @@
-"""A relay whose answers share a link of limited rate, with a count of their bytes."""
+"""A TCP relay with a bandwidth limit on its responses, which also counts their bytes."""
 
 import asyncio
 import contextlib
 
-PIECE_BYTES = 4_096
-"""What is passed on at a time: a small window, as on a real link."""
+CHUNK_BYTES = 4_096
+"""Maximum size of one read; small, like the window of a real link."""
 
-QUEUE_S = 0.2
-"""What a link has queued goes out without a pause, also while this process has no processor."""
+BURST_S = 0.2
+"""Bytes for this time may be sent without a pause.
+
+A real link sends its queue without gaps, also while this process waits for a processor.
+"""
 
 
 class NarrowLink:
@@ -18,39 +21,41 @@
         self.passed_bytes = 0
         self._target = target
         self._bytes_per_s = bytes_per_s
-        self._free_s = 0.0
+        self._idle_from_s = 0.0
 
     async def start(self):
-        """Listen on any free port of the loopback."""
+        """Listen on a free port of the loopback interface."""
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
 
-    async def _serve(self, near_reader, near_writer):
+    async def _serve(self, client_reader, client_writer):
         with contextlib.suppress(asyncio.CancelledError):
-            await self._relay(near_reader, near_writer)
+            await self._relay(client_reader, client_writer)
 
-    async def _relay(self, near_reader, near_writer):
+    async def _relay(self, client_reader, client_writer):
         host, _, port = self._target.rpartition(":")
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
-        forth = asyncio.create_task(self._pass(near_reader, far_writer))
-        back = asyncio.create_task(self._pass(far_reader, near_writer, is_narrow=True))
-        await asyncio.wait((forth, back), return_when=asyncio.FIRST_COMPLETED)
-        for task in (forth, back):
+        upstream_reader, upstream_writer = await asyncio.open_connection(host, int(port))
+        upload = asyncio.create_task(self._copy(client_reader, upstream_writer))
+        download = asyncio.create_task(
+            self._copy(upstream_reader, client_writer, is_throttled=True)
+        )
+        await asyncio.wait((upload, download), return_when=asyncio.FIRST_COMPLETED)
+        for task in (upload, download):
             task.cancel()
-        near_writer.transport.abort()
-        far_writer.transport.abort()
+        client_writer.transport.abort()
+        upstream_writer.transport.abort()
 
-    async def _pass(self, reader, writer, is_narrow=False):
+    async def _copy(self, reader, writer, is_throttled=False):
         with contextlib.suppress(OSError):
-            while data := await reader.read(PIECE_BYTES):
-                if is_narrow:
-                    await self._take_permit(len(data))
+            while data := await reader.read(CHUNK_BYTES):
+                if is_throttled:
+                    await self._throttle(len(data))
                 writer.write(data)
                 await writer.drain()
 
-    async def _take_permit(self, size):
-        """Wait until the link has carried everything before and these bytes."""
+    async def _throttle(self, size):
+        """Wait until the link has transmitted all earlier bytes and these."""
         now_s = asyncio.get_running_loop().time()
-        self._free_s = max(self._free_s, now_s - QUEUE_S) + size / self._bytes_per_s
+        self._idle_from_s = max(self._idle_from_s, now_s - BURST_S) + size / self._bytes_per_s
         self.passed_bytes += size
-        await asyncio.sleep(self._free_s - now_s)
+        await asyncio.sleep(self._idle_from_s - now_s)
--- a/features/support/processes.py
+++ b/features/support/processes.py
@@ -1,4 +1,4 @@
-"""What tests need beside the emulator's processes: the command line, and reading JSON."""
+"""Helpers of the tests for running the command line and for JSON over HTTP."""
 
 import base64
 import os
@@ -14,17 +14,19 @@
 
 
 def worker_ports():
-    """Return the ports of this test worker."""
+    """Return the port allocator of this test worker."""
     return Ports(int(os.environ.get(PORT_BASE_VARIABLE, FIRST_PORT)))
 
 
 def command(*arguments, expect=0):
     """Run the command line and return its output; fails unless it exits with ``expect``."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [program("yokedock"), *map(str, arguments)], capture_output=True, text=True, timeout=60
     )
-    output = done.stdout + done.stderr
-    assert done.returncode == expect, f"exit {done.returncode}, expected {expect}:\n{output}"
+    output = completed.stdout + completed.stderr
+    assert completed.returncode == expect, (
+        f"exit {completed.returncode}, expected {expect}:\n{output}"
+    )
     return output
 
 
--- a/features/support/relay.py
+++ b/features/support/relay.py
@@ -1,16 +1,16 @@
-"""A small TCP relay that can hold or cut one or both directions of a link."""
+"""A TCP relay that can hold traffic in either direction, or cut all connections."""
 
 import contextlib
 import socket
 import threading
 import time
 
-BUFFER = 65536
+BUFFER_BYTES = 65536
 POLL_S = 0.005
 
 
 class Relay:
-    """Passes connections on to a target; ``hold`` and ``cut`` act on all of them."""
+    """Relays connections to a target; ``hold`` and ``cut`` apply to all of them."""
 
     def __init__(self, listen, target):
         self.address = listen
@@ -18,13 +18,13 @@
         self._held = set()
         self._is_cut = False
         self.delay_s = 0.0
-        """Time that everything takes in each direction."""
+        """Delay added to each chunk, in both directions."""
         self._sockets = set()
-        self._server = socket.create_server(self._split(listen))
+        self._server = socket.create_server(self._split_address(listen))
         threading.Thread(target=self._accept, daemon=True).start()
 
     def hold(self, *directions):
-        """Let nothing through in the directions "forth" (to the target) and "back"."""
+        """Hold all data in the directions "forth" (to the target) and "back"."""
         self._held = set(directions)
 
     def cut(self):
@@ -45,27 +45,31 @@
     def _accept(self):
         while True:
             try:
-                near, _ = self._server.accept()
+                client, _ = self._server.accept()
             except OSError:
                 return
             if self._is_cut:
-                near.close()
+                client.close()
                 continue
             try:
-                far = socket.create_connection(self._split(self._target), timeout=2.0)
+                upstream = socket.create_connection(self._split_address(self._target), timeout=2.0)
             except OSError:
-                near.close()
+                client.close()
                 continue
-            far.settimeout(None)
-            for end in (near, far):
+            upstream.settimeout(None)
+            for end in (client, upstream):
                 end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._sockets |= {near, far}
-            threading.Thread(target=self._pump, args=(near, far, "forth"), daemon=True).start()
-            threading.Thread(target=self._pump, args=(far, near, "back"), daemon=True).start()
+            self._sockets |= {client, upstream}
+            threading.Thread(
+                target=self._copy, args=(client, upstream, "forth"), daemon=True
+            ).start()
+            threading.Thread(
+                target=self._copy, args=(upstream, client, "back"), daemon=True
+            ).start()
 
-    def _pump(self, source, sink, direction):
+    def _copy(self, source, sink, direction):
         with contextlib.suppress(OSError):
-            while data := source.recv(BUFFER):
+            while data := source.recv(BUFFER_BYTES):
                 time.sleep(self.delay_s)
                 while direction in self._held:
                     time.sleep(POLL_S)
@@ -79,6 +83,6 @@
             connection.shutdown(socket.SHUT_RDWR)
         connection.close()
 
-    def _split(self, address):
+    def _split_address(self, address):
         host, _, port = address.rpartition(":")
         return host, int(port)
--- a/features/support/resume_properties.py
+++ b/features/support/resume_properties.py
@@ -1,4 +1,4 @@
-"""Streams that are resumed: what comes while a resume is under way is part of the answer."""
+"""Resumed streams: parts that arrive while a resume is pending belong to the response."""
 
 from hypothesis import strategies as st
 
@@ -8,8 +8,8 @@
 from yokedock.request.answer_stream import AnswerStream, ResponseWriter
 
 
-class KeptWriter(ResponseWriter):
-    """Keeps what a caller would get."""
+class RecordingWriter(ResponseWriter):
+    """Records the tokens that a caller would receive."""
 
     def __init__(self):
         self.tokens = []
@@ -26,29 +26,29 @@
     meanwhile=st.lists(st.integers(1, 5), max_size=8),
     replied=st.integers(0, 20),
 )
-def resume_takes_what_comes_meanwhile(arrived, meanwhile, replied):
-    """Guards against streams that bring nothing while each resume is overtaken by newer parts."""
+def parts_during_a_resume_are_appended(arrived, meanwhile, replied):
+    """Guards against streams without progress because newer parts overtake each resume reply."""
     words = [str(number) for number in range(200)]
-    writer = KeptWriter()
+    writer = RecordingWriter()
     stream = AnswerStream(writer, 200)
     stream.begin_attempt("a")
     stream.offer(StreamTokens("a", 0, tuple(words[:arrived]), ""))
     stream.lost(PeerUnreachable("the link broke"))
     stream.begin_resume()
-    # The agent has told these on the new link before it answers with all that it has made.
-    at = arrived + replied
+    # The agent sends these on the new link before it replies with the tokens generated so far.
+    position = arrived + replied
     for count in meanwhile:
-        stream.offer(StreamTokens("a", at, tuple(words[at : at + count]), ""))
-        at += count
+        stream.offer(StreamTokens("a", position, tuple(words[position : position + count]), ""))
+        position += count
     stream.end_resume((StreamTokens("a", arrived, tuple(words[arrived : arrived + replied]), ""),))
-    assert writer.tokens == words[:at], writer.tokens
-    stream.offer(StreamTokens("a", at, (), "length"))
+    assert writer.tokens == words[:position], writer.tokens
+    stream.offer(StreamTokens("a", position, (), "length"))
     stream.wait_end()
 
 
-def a_gap_behind_a_resume_asks_for_another():
-    """What a resume did not fill is not passed on as if nothing were missing."""
-    stream = AnswerStream(KeptWriter(), 200)
+def a_gap_after_a_resume_requests_another():
+    """A gap that a resume does not fill ends the stream with ``StreamGap``."""
+    stream = AnswerStream(RecordingWriter(), 200)
     stream.begin_attempt("a")
     stream.begin_resume()
     stream.offer(StreamTokens("a", 5, ("e",), ""))
@@ -61,6 +61,6 @@
 
 
 RESUME_PROPERTIES = {
-    "a resume takes what comes meanwhile": resume_takes_what_comes_meanwhile,
-    "a gap behind a resume asks for another": a_gap_behind_a_resume_asks_for_another,
+    "a resume takes what comes meanwhile": parts_during_a_resume_are_appended,
+    "a gap behind a resume asks for another": a_gap_after_a_resume_requests_another,
 }
--- a/features/support/soak.py
+++ b/features/support/soak.py
@@ -1,7 +1,7 @@
-"""A randomized run: requests and faults in an order that a seed decides.
+"""A randomized run of requests and faults whose order is determined by a seed.
 
-The seed decides what is sent and what strikes, in which order; how these meet in time is the
-machine's, so a failing seed is worth running several times.
+The seed determines the requests, the faults and their order, but not their exact timing, which
+depends on the machine. Run a failing seed several times to reproduce a failure.
 """
 
 import dataclasses
@@ -15,14 +15,14 @@
 from yokedock.base.clock import boot_time_s, wall_clock_ms
 from yokedock.request.idempotency import new_key
 
-MOST_PAUSE_S = 0.12
+MAX_PAUSE_S = 0.12
 REQUESTS_BETWEEN_FAULTS = 5
-SHARE_OF_CALLS = 0.3
-SHARE_REPEATED = 0.5
-SHARE_LEFT = 0.15
+CALL_SHARE = 0.3
+RETRY_SHARE = 0.5
+DISCONNECT_SHARE = 0.15
 RECENT_CALLS = 4
-BROKEN_SLACK_S = 2 * LEASE_S
-"""A connection may break so long after its gateway was struck."""
+DISCONNECT_SLACK_S = 2 * LEASE_S
+"""Time after the kill of a gateway in which its connections may still break."""
 
 
 @dataclasses.dataclass
@@ -38,7 +38,7 @@
 
 @dataclasses.dataclass
 class SentCall:
-    """One call that may not be repeated, and its repeats with the same key."""
+    """One call that is not repeatable, and its retries with the same key."""
 
     callers: list
     key: str
@@ -53,29 +53,29 @@
         self.streams = []
         self.calls = []
         self.struck = []
-        """Every fault: when it began, and what it was."""
+        """Every injected fault: its start time and its description."""
         self._gateway_kills = []
         self._faults = [
             self._kill_agent,
-            self._kill_home,
+            self._kill_home_agent,
             self._kill_engine,
             self._kill_gateway,
             self._freeze,
             self._cut,
-            self._roll,
+            self._roll_out,
             self._change_role,
             self._outage,
-            self._stop_agent,
+            self._stop_agent_gracefully,
         ]
 
     def run(self, requests):
-        """Send ``requests`` requests, with a fault after every few; wait for all answers."""
+        """Send ``requests`` requests with a fault after every few; wait for all responses."""
         for number in range(requests):
             self._send(number)
             if number % REQUESTS_BETWEEN_FAULTS == REQUESTS_BETWEEN_FAULTS - 1:
                 fault = self._random.choice(self._faults)
                 fault()
-            time.sleep(self._random.uniform(0, MOST_PAUSE_S))
+            time.sleep(self._random.uniform(0, MAX_PAUSE_S))
         self._deployment.heal()
         for caller in self.all_callers():
             caller.wait()
@@ -90,14 +90,14 @@
     def _send(self, number):
         gateway = self._random.choice(GATEWAYS)
         url = self._deployment.urls[gateway]
-        if self._random.random() < SHARE_OF_CALLS:
+        if self._random.random() < CALL_SHARE:
             self._send_call(url)
         else:
             self._send_stream(number, gateway, url)
-        self._maybe_leave()
+        self._maybe_disconnect()
 
     def _send_call(self, url):
-        if self.calls and self._random.random() < SHARE_REPEATED:
+        if self.calls and self._random.random() < RETRY_SHARE:
             call = self._random.choice(self.calls[-RECENT_CALLS:])
         else:
             call = SentCall([], new_key(wall_clock_ms()))
@@ -111,43 +111,43 @@
         caller = StreamCaller(url, prompt, tokens, {"X-Request-Id": request_id})
         self.streams.append(SentStream(caller, request_id, gateway, boot_time_s()))
 
-    def _maybe_leave(self):
+    def _maybe_disconnect(self):
         waiting = [s for s in self.streams if s.caller.is_waiting() and not s.has_disconnected]
-        if waiting and self._random.random() < SHARE_LEFT:
+        if waiting and self._random.random() < DISCONNECT_SHARE:
             stream = self._random.choice(waiting)
             stream.has_disconnected = True
             stream.caller.close()
 
     # --- Faults ---
 
-    def _note(self, what):
+    def _record_fault(self, what):
         self.struck.append((round(boot_time_s(), 2), what))
 
-    def _restart(self, name):
-        self._note(f"kill {name}")
+    def _kill_and_restart(self, name):
+        self._record_fault(f"kill {name}")
         self._deployment.nodes[name].restart()
 
     def _kill_agent(self):
-        self._restart(self._random.choice((*PREFILL, *DECODE)))
+        self._kill_and_restart(self._random.choice((*PREFILL, *DECODE)))
 
-    def _kill_home(self):
-        """Kill an agent that keeps the record of keys, and repeat the latest calls at once."""
-        self._restart(self._random.choice(HOMES))
+    def _kill_home_agent(self):
+        """Kill an agent that stores the idempotency keys, and retry the latest calls at once."""
+        self._kill_and_restart(self._random.choice(HOMES))
         url = self._deployment.urls[self._random.choice(GATEWAYS)]
         for call in self.calls[-RECENT_CALLS:]:
             call.callers.append(ServiceCaller(url, SERVICE, b"confirm", call.key))
 
     def _kill_engine(self):
-        self._restart(f"engine {self._random.choice((*PREFILL, *DECODE))}")
+        self._kill_and_restart(f"engine {self._random.choice((*PREFILL, *DECODE))}")
 
     def _kill_gateway(self):
         name = self._random.choice(GATEWAYS)
         self._gateway_kills.append((name, boot_time_s()))
-        self._restart(name)
+        self._kill_and_restart(name)
 
     def _freeze(self):
         name = self._random.choice((*PREFILL, *DECODE, *HOMES, *GATEWAYS))
-        self._note(f"freeze {name}")
+        self._record_fault(f"freeze {name}")
         node = self._deployment.nodes[name]
         node.freeze()
         time.sleep(FAULT_DURATION_S)
@@ -158,40 +158,40 @@
         kinds = (deployment.agent_relays, deployment.transfer_relays, deployment.engine_relays)
         relay = self._random.choice(kinds)[self._random.choice((*PREFILL, *DECODE, *HOMES))]
         direction = self._random.choice((("forth",), ("back",), ("forth", "back")))
-        self._note(f"hold {direction} of {relay.address}")
+        self._record_fault(f"hold {direction} of {relay.address}")
         relay.hold(*direction)
         time.sleep(FAULT_DURATION_S)
         relay.heal()
 
-    def _roll(self):
-        self._note("roll")
+    def _roll_out(self):
+        self._record_fault("roll")
         self._deployment.publish()
 
     def _change_role(self):
         name = self._random.choice((*PREFILL, *DECODE))
         other = "decode" if name in PREFILL else "prefill"
-        self._note(f"{name} becomes {other}")
+        self._record_fault(f"{name} becomes {other}")
         self._deployment.publish(self._deployment.bundle_sections(roles={name: other}))
 
     def _outage(self):
         what = self._random.choice(("down", "stale"))
-        self._note(f"configuration {what}")
+        self._record_fault(f"configuration {what}")
         self._deployment.set_outage(**{what: True})
         time.sleep(self._random.uniform(0, 1))
         self._deployment.set_outage()
 
-    def _stop_agent(self):
+    def _stop_agent_gracefully(self):
         name = self._random.choice((*PREFILL, *DECODE))
-        self._note(f"planned stop {name}")
+        self._record_fault(f"planned stop {name}")
         node = self._deployment.nodes[name]
         node.terminate()
         assert node.wait_exit() == 0, f"{name} exited with an error"
         node.start()
         node.wait_up()
 
-    # --- Judging ---
+    # --- Checks ---
 
     def may_break(self, gateway, sent_s):
-        """Return whether a connection to ``gateway`` may have been broken by a kill."""
+        """Return whether a kill of ``gateway`` may have broken a request sent at ``sent_s``."""
         kills = [at_s for name, at_s in self._gateway_kills if name == gateway]
-        return any(at_s + BROKEN_SLACK_S >= sent_s for at_s in kills)
+        return any(at_s + DISCONNECT_SLACK_S >= sent_s for at_s in kills)
--- a/features/support/upkeep_properties.py
+++ b/features/support/upkeep_properties.py
@@ -1,4 +1,4 @@
-"""What a router keeps depends on what lives now; what describes its work never harms it."""
+"""Bounds on what a router keeps in memory, and isolation of requests from telemetry faults."""
 
 import asyncio
 import io
@@ -21,7 +21,7 @@
 
 
 def backends_that_left_are_dropped():
-    """A backend is forgotten after a while, but not while work is under way there."""
+    """A removed backend is dropped after its retention period, but not while it has requests."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     for number in range(200):
@@ -41,7 +41,7 @@
 
 
 def a_listed_backend_that_leaves_slowly_is_kept():
-    """One that says for long that it is leaving stays known as long as it is listed."""
+    """A backend that announces its leaving for long is kept for as long as it is listed."""
     clock = Clock()
     registry = BackendRegistry("", clock)
     registry.update([BackendEntry("b", "s", "127.0.0.1:1", is_leaving=True)], [])
@@ -50,8 +50,8 @@
     assert registry.names() == {"b"}
 
 
-def the_retry_window_holds_no_more_than_the_window():
-    """Requests of a service that never retries are forgotten behind the window too."""
+def retry_counts_older_than_the_window_are_dropped():
+    """Requests older than the window are dropped also for a service that never retries."""
     clock = Clock()
     allowance = RetryAllowance(RetryBounds(0.2, 10.0, 50.0), lambda: 1, clock=clock)
     for number in range(2000):
@@ -66,7 +66,7 @@
 
 
 def votes_of_routers_that_left_are_dropped():
-    """Each life of a router may come from another address."""
+    """Old votes are dropped, since every restart of a router may have a new address."""
     clock = Clock()
     leadership = Leadership("10.0.0.1", 3.0, True, clock)
     for number in range(500):
@@ -76,8 +76,8 @@
         assert leadership.size() <= 4
 
 
-def engines_whose_change_ended_are_not_kept():
-    """A router that orders no changes takes no room in the registry."""
+def engines_with_completed_changes_are_dropped():
+    """A router without pending role changes has no entry in the registry."""
     registry = BackendRegistry("")
     for number in range(100):
         registry.set_changing(f"10.0.0.{number}", ("engine",))
@@ -87,7 +87,7 @@
 
 
 def metrics_are_bounded():
-    """Routes come and go by the thousand; values wait in bounded number; nothing is lost unsaid."""
+    """Metrics and queued values are bounded with thousands of routes, and losses are counted."""
     metrics = RouterMetrics()
     for number in range(3 * MOST_ROUTES):
         metrics.count(f"r{number}", "answered")
@@ -105,8 +105,8 @@
     assert "router_active 3\n" in text
     assert "router_values_dropped 7\n" in text
     assert f'route="{GONE_ROUTES}",outcome="answered"}} {MOST_ROUTES - 1}\n' in text
-    told = re.search(r'router_ms{route="r1",measure="held",quantile="0.95"} (\S+)\n', text)
-    assert 9.8 <= float(told[1]) <= 10.2, told[1]
+    reported = re.search(r'router_ms{route="r1",measure="held",quantile="0.95"} (\S+)\n', text)
+    assert 9.8 <= float(reported[1]) <= 10.2, reported[1]
     assert 'route="r2"' not in text
     late = f'router_late{{service="{GONE_ROUTES}",route="{GONE_ROUTES}",zone="hall"}}'
     assert f"{late} {MOST_ROUTES - 1}\n" in text
@@ -116,7 +116,7 @@
 
 
 def a_failure_of_telemetry_is_counted_and_logged_once():
-    """Whatever fails in describing the work ends there."""
+    """A failure in telemetry does not reach its caller."""
     lines = []
     guard = TelemetryGuard()
     handler = BoundedJsonLinesHandler(
@@ -133,29 +133,29 @@
     assert [json.loads(line)["kind"] for line in lines] == ["fold"]
 
 
-def lines_to_a_full_pipe_never_wait():
-    """Nobody reads: lines are refused, none is cut, and later ones tell how many were lost."""
-    reading, writing = os.pipe()
+def lines_to_a_full_pipe_do_not_block():
+    """Without a reader, whole lines are dropped, and a later line reports how many."""
+    read_end, write_end = os.pipe()
     budgets = [LineBudget(1e6), LineBudget(1e6)]
-    handler = BoundedJsonLinesHandler(LineWriter(writing).write, "INFO", *budgets)
+    handler = BoundedJsonLinesHandler(LineWriter(write_end).write, "INFO", *budgets)
     log = logger("test")
     with handler.applicationbound():
         for number in range(3000):
             log.info("line", number=number, filler="x" * (number % 9000))
-        first = drain(reading)
+        first = drain(read_end)
         log.warning("look")
-        second = drain(reading)
-    os.close(writing)
-    os.close(reading)
+        second = drain(read_end)
+    os.close(write_end)
+    os.close(read_end)
     lines = [json.loads(line) for line in (first + second).splitlines()]
-    told = sum(line.get("lines_dropped", 0) for line in lines)
+    reported = sum(line.get("lines_dropped", 0) for line in lines)
     assert 10 < len(lines) < 3000
     assert lines[-1]["event"] == "look"
-    assert len(lines) + told == 3001, (len(lines), told)
+    assert len(lines) + reported == 3001, (len(lines), reported)
 
 
 def drain(descriptor):
-    """Return what a pipe holds now."""
+    """Return the bytes that are in a pipe now."""
     os.set_blocking(descriptor, False)
     data = b""
     while True:
@@ -165,8 +165,8 @@
             return data
 
 
-def warnings_are_bounded_and_not_crowded_out():
-    """A storm of warnings is bounded like other lines; ordinary lines leave room for them."""
+def warnings_have_their_own_budget():
+    """Warnings are bounded by a budget of their own, which other lines cannot use up."""
     lines = []
     clock = Clock()
     budgets = [LineBudget(5.0, clock), LineBudget(5.0, clock)]
@@ -181,15 +181,15 @@
         log.info("ordinary")
     events = [json.loads(line)["event"] for line in lines]
     assert events == ["ordinary"] * 5 + ["urgent"] * 5 + ["ordinary"]
-    told = sum(json.loads(line).get("lines_dropped", 0) for line in lines)
-    assert told == 190, told
+    reported = sum(json.loads(line).get("lines_dropped", 0) for line in lines)
+    assert reported == 190, reported
 
 
-class SilentTransport:
-    """Stands for a caller's connection; notes whether it was cut."""
+class FakeTransport:
+    """Fake transport of a caller's connection; records whether it was aborted."""
 
     def __init__(self):
-        self.was_cut = False
+        self.was_aborted = False
         self.transport = self
         self.data = io.BytesIO()
 
@@ -206,19 +206,19 @@
         return
 
     def abort(self):
-        self.was_cut = True
+        self.was_aborted = True
 
 
-def an_error_behind_a_whole_answer_does_not_harm_it():
-    """The caller has its answer: a fault in what comes after is logged and cuts nothing."""
+def an_error_after_a_complete_response_is_ignored():
+    """An error after a complete response is logged and does not abort the connection."""
     for error in (RuntimeError("a defect"), YokedockError("a typed error")):
-        cut, data = asyncio.run(answered_then(error))
-        assert not cut
+        is_aborted, data = asyncio.run(response_then_error(error))
+        assert not is_aborted
         assert data.endswith(b"whole"), data
 
 
-async def answered_then(error):
-    """Run a handler that fails behind its answer; return (was cut, bytes sent)."""
+async def response_then_error(error):
+    """Run a handler that fails after its response; return (was aborted, bytes sent)."""
     import h11
 
     from yokedock.connection.http_heads import complete_response
@@ -228,7 +228,7 @@
         await answer.whole(*complete_response(200, b"whole"))
         raise error
 
-    transport = SilentTransport()
+    transport = FakeTransport()
     connection = CallerConnection(None, transport, handle, CallerLimits)
     connection._parser.receive_data(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n")
     while not isinstance(connection._parser.next_event(), h11.EndOfMessage):
@@ -239,24 +239,24 @@
             path = "/"
 
     await connection._run_handler(Request, ResponseWriter(connection))
-    return transport.was_cut, transport.data.getvalue()
+    return transport.was_aborted, transport.data.getvalue()
 
 
 UPKEEP_PROPERTIES = {
     "backends that left are dropped": backends_that_left_are_dropped,
     "a listed backend that leaves slowly is kept": a_listed_backend_that_leaves_slowly_is_kept,
     "the retry window holds no more than the window": (
-        the_retry_window_holds_no_more_than_the_window
+        retry_counts_older_than_the_window_are_dropped
     ),
     "votes of routers that left are dropped": votes_of_routers_that_left_are_dropped,
-    "engines whose change ended are not kept": engines_whose_change_ended_are_not_kept,
+    "engines whose change ended are not kept": engines_with_completed_changes_are_dropped,
     "metrics are bounded": metrics_are_bounded,
     "a failure of telemetry is counted and logged once": (
         a_failure_of_telemetry_is_counted_and_logged_once
     ),
-    "lines to a full pipe never wait": lines_to_a_full_pipe_never_wait,
-    "warnings are bounded and not crowded out": warnings_are_bounded_and_not_crowded_out,
+    "lines to a full pipe never wait": lines_to_a_full_pipe_do_not_block,
+    "warnings are bounded and not crowded out": warnings_have_their_own_budget,
     "an error behind a whole answer does not harm it": (
-        an_error_behind_a_whole_answer_does_not_harm_it
+        an_error_after_a_complete_response_is_ignored
     ),
 }
