--- a/features/environment.py
+++ b/features/environment.py
@@ -23,7 +23,7 @@
     if scenario.status.name in ("failed", "error"):
         print(context.deployment.recent_logs())
     died = [node.name for node in context.deployment.nodes.values() if node.has_died()]
-    reports = [context.deployment.died_report(name) for name in died]
+    reports = [context.deployment.exit_report(name) for name in died]
     context.deployment.heal()
     assert not died, f"processes died by themselves: {died}\n{reports}"
 
--- a/features/run_features.py
+++ b/features/run_features.py
@@ -13,7 +13,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from pathlib import Path
 
-from support.matrix_table import matrix_tables, told_counts
+from support.matrix_table import matrix_tables, outcome_counts
 from support.port_blocks import PortBlocks, first_ephemeral_port
 from support.processes import PORT_BASE_VARIABLE
 
@@ -145,7 +145,7 @@
     tables = matrix_tables(cells)
     if tables:
         print(tables)
-        told = told_counts([result.output for result in results])
+        told = outcome_counts([result.output for result in results])
         counts = ", ".join(f"{outcome} {count}" for outcome, count in told.most_common())
         print(f"callers in the cells were told: {counts}")
 
--- a/features/steps/limit_steps.py
+++ b/features/steps/limit_steps.py
@@ -4,7 +4,7 @@
 
 from behave import given, then, when
 from router_steps import world
-from support.steady_load import SteadyLoad, call_of, stream_of
+from support.steady_load import SteadyLoad, call_builder, stream_builder
 
 WINDOW_S = 4.0
 SLACK_SHARE = 1.5
@@ -46,7 +46,7 @@
 
 @when('{count:d} clients of the newest router send POST on "{route}" for {span_s:g} s')
 def send_to_newest(context, count, route, span_s):
-    context.load = SteadyLoad(context.world, context.routers[-1:], count, call_of(route))
+    context.load = SteadyLoad(context.world, context.routers[-1:], count, call_builder(route))
     context.load.run(span_s)
 
 
@@ -74,7 +74,7 @@
 
 @when('{count:d} clients of each router send POST on "{route}" for {span_s:g} s')
 def send_steadily(context, count, route, span_s):
-    run_load(context, count, call_of(route), span_s)
+    run_load(context, count, call_builder(route), span_s)
 
 
 @when(
@@ -82,12 +82,12 @@
 )
 def send_steadily_later(context, later_s, count, route, span_s):
     time.sleep(later_s)
-    run_load(context, count, call_of(route), span_s)
+    run_load(context, count, call_builder(route), span_s)
 
 
 @when('{count:d} clients of each router stream on "{route}" for {span_s:g} s')
 def stream_steadily(context, count, route, span_s):
-    run_load(context, count, stream_of(route), span_s)
+    run_load(context, count, stream_builder(route), span_s)
 
 
 def run_load(context, count, make_request, span_s):
--- a/features/steps/matrix_steps.py
+++ b/features/steps/matrix_steps.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 from support.caller import ServiceCaller, StreamCaller
 from support.deployment import DECODE, HOMES, PREFILL, SERVICE
-from support.faults import Cell, strike
+from support.faults import MatrixCell, strike
 from support.judge import (
     assert_answered_once,
     assert_no_new_work,
@@ -45,7 +45,7 @@
     headers = {"X-Request-Id": context.request_id}
     caller = StreamCaller(url, prompt, TOKENS, headers)
     wait_for_step(context, caller, step)
-    context.cell = Cell(deployment, GATEWAY, caller)
+    context.cell = MatrixCell(deployment, GATEWAY, caller)
 
 
 def hold_relays(context, relays_by_name, names):
@@ -149,7 +149,7 @@
         wait_in_flight(deployment)
     if step in ("executing", "executed"):
         wait_arrived(context, step)
-    context.cell = Cell(deployment, GATEWAY, caller)
+    context.cell = MatrixCell(deployment, GATEWAY, caller)
 
 
 def wait_arrived(context, step):
--- a/features/steps/router_narrow_steps.py
+++ b/features/steps/router_narrow_steps.py
@@ -3,7 +3,7 @@
 import time
 
 from behave import given, then, when
-from support.narrow_link import NarrowLink
+from support.rate_limited_relay import RateLimitedRelay
 from support.router_world import HOST, RawCaller, free_address
 
 from yokedock.platform.documents import (
@@ -66,7 +66,7 @@
 
 
 def start_narrow(context, seeds=(), address=""):
-    context.link = NarrowLink(context.store.address, LINK_BYTES_PER_S)
+    context.link = RateLimitedRelay(context.store.address, LINK_BYTES_PER_S)
     context.world.run(context.link.start())
     source = PlatformStore(context.link.address)
     address = address or free_address()
@@ -122,7 +122,7 @@
 @when("the store gets version {version:d}, which the link carries in {seconds:g} s")
 def publish(context, version, seconds):
     context.seconds, context.published_s = seconds, time.monotonic()
-    context.passed_before = context.link.passed_bytes
+    context.passed_before = context.link.relayed_bytes
     in_loop(context, context.store.publish, configuration(version, seconds))
 
 
@@ -199,6 +199,6 @@
 @then("within {limit_s:g} s the link has carried less than half of that version")
 def carried_little(context, limit_s):
     time.sleep(max(0.0, context.published_s + limit_s - time.monotonic()))
-    carried = context.link.passed_bytes - context.passed_before
+    carried = context.link.relayed_bytes - context.passed_before
     whole = context.seconds * LINK_BYTES_PER_S
     assert carried < whole / 2, f"{carried} bytes of {whole:.0f}"
--- a/features/steps/router_soak_steps.py
+++ b/features/steps/router_soak_steps.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 from behave import given, then, when
-from support.soak_histories import HISTORIES, Made
+from support.soak_histories import HISTORIES, HistoryBuilder
 
 from yokedock_emulator.deployed_router import DeployedRouter
 from yokedock_emulator.router_soak.router_soak import run_soak
@@ -84,7 +84,7 @@
 
 @given("a history in which {what}")
 def history(context, what):
-    made = Made()
+    made = HistoryBuilder()
     HISTORIES[what](made)
     context.found = judge(made.history)
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -33,7 +33,9 @@
         detail = f"{stream.request_id} {caller.status} {caller.data[-300:]!r} {caller.error}"
         if stream.has_disconnected or is_broken(caller):
             assert caller.is_prefix(), detail
-            assert stream.has_disconnected or soak.may_break(stream.gateway, stream.sent_s), detail
+            assert stream.has_disconnected or soak.may_have_broken(stream.gateway, stream.sent_s), (
+                detail
+            )
         else:
             assert_answered_once(caller)
         assert_not_run_is_true(context.deployment, caller, stream.request_id)
--- a/features/support/deployment.py
+++ b/features/support/deployment.py
@@ -306,7 +306,7 @@
             tails.append(f"--- {node.name}\n" + "\n".join(lines))
         return "\n".join(tails)
 
-    def died_report(self, name):
+    def exit_report(self, name):
         """Return the exit status and last log output of a process that exited unexpectedly."""
         node = next(node for node in self.nodes.values() if node.name == name)
         return f"{name}: status {node.process.returncode}\n{node.log_text()[-2000:]}"
--- a/features/support/faults.py
+++ b/features/support/faults.py
@@ -12,7 +12,7 @@
 LEAVING_TIMEOUT_S = 9.0
 
 
-class Cell:
+class MatrixCell:
     """One cell of the fault matrix: a request and the processes that serve it."""
 
     def __init__(self, deployment, gateway, caller):
--- a/features/support/matrix_table.py
+++ b/features/support/matrix_table.py
@@ -50,7 +50,7 @@
     return format_table((table, *steps), rows)
 
 
-def told_counts(outputs):
+def outcome_counts(outputs):
     """Count the outcomes that callers got, from the printed output of scenarios."""
     return collections.Counter(
         outcome for output in outputs for outcome in OUTCOME_LINE.findall(output)
--- a/features/support/narrow_link.py
+++ b/features/support/rate_limited_relay.py
@@ -13,12 +13,12 @@
 """
 
 
-class NarrowLink:
+class RateLimitedRelay:
     """Listens on ``address``; all connections share ``bytes_per_s`` towards the router."""
 
     def __init__(self, target, bytes_per_s):
         self.address = ""
-        self.passed_bytes = 0
+        self.relayed_bytes = 0
         self._target = target
         self._bytes_per_s = bytes_per_s
         self._idle_from_s = 0.0
@@ -57,5 +57,5 @@
         """Wait until the link has transmitted all earlier bytes and these."""
         now_s = asyncio.get_running_loop().time()
         self._idle_from_s = max(self._idle_from_s, now_s - BURST_S) + size / self._bytes_per_s
-        self.passed_bytes += size
+        self.relayed_bytes += size
         await asyncio.sleep(self._idle_from_s - now_s)
--- a/features/support/soak.py
+++ b/features/support/soak.py
@@ -191,7 +191,7 @@
 
     # --- Checks ---
 
-    def may_break(self, gateway, sent_s):
+    def may_have_broken(self, gateway, sent_s):
         """Return whether a kill of ``gateway`` may have broken a request sent at ``sent_s``."""
         kills = [at_s for name, at_s in self._gateway_kills if name == gateway]
         return any(at_s + DISCONNECT_SLACK_S >= sent_s for at_s in kills)
--- a/features/support/soak_histories.py
+++ b/features/support/soak_histories.py
@@ -14,7 +14,7 @@
 START_S = 1000.0
 
 
-class Made:
+class HistoryBuilder:
     """Builds a history with one router and five configurations, the newest confirmed long ago."""
 
     def __init__(self):
--- a/features/support/steady_load.py
+++ b/features/support/steady_load.py
@@ -95,12 +95,12 @@
             await asyncio.sleep(PAUSE_S)
 
 
-def call_of(route):
+def call_builder(route):
     """Return a function that builds calls on a route from their request ids."""
     return lambda request_id: request_bytes(route, body=b"abc", request_id=request_id)
 
 
-def stream_of(route):
+def stream_builder(route):
     """Return a function that builds generation requests on a route, each with a unique prompt."""
 
     def build(request_id):
--- a/features/support/sleep_properties.py
+++ b/features/support/suspension_properties.py
@@ -226,7 +226,7 @@
     assert poison._suspects[7].last_s() == sent_s
 
 
-SLEEP_PROPERTIES = {
+SUSPENSION_PROPERTIES = {
     "what was told in a sleep is as old as the sleep": (
         state_queued_in_a_suspension_is_dated_before_it
     ),
